--- a/bench/round_cost.py
+++ b/bench/round_cost.py
@@ -45,7 +45,7 @@
                                  128_000, 0)
         entry = fleetfakes.entry(number, capacity=capacity)
         state.add_worker(entry)
-        reports.take(state, entry.worker_id, messages.WorkerReport(
+        reports.apply_report(state, entry.worker_id, messages.WorkerReport(
             NOW_S * 1000.0, (), ()), NOW_S, NOW_S)
     state.enrol(list(state.workers))
     return state
@@ -82,8 +82,8 @@
         before = state.run_log.ordered_total
         rounds.place(state, NOW_S, WALL_MS)
         for worker in state.workers.values():
-            for run in list(worker.unsent):
-                worker.start_sent(run)
+            for run in list(worker.unsent_starts):
+                worker.mark_start_sent(run)
 
 
 def measure(workers: int, policy: policy_mod.Policy) -> None:
--- a/sycamorefield/fleet/coming.py
+++ b/sycamorefield/fleet/coming.py
@@ -24,7 +24,7 @@
             self.rooms = {}
             for worker in self.usable:
                 room = _stopping_room(worker)
-                if room != messages.Room() or not worker.takes_starts():
+                if room != messages.Room() or not worker.accepts_starts():
                     self.rooms[worker.entry.worker_id] = room
         return self.rooms
 
@@ -36,7 +36,8 @@
         for worker in workers if rooms else ():
             worker_id = worker.entry.worker_id
             room = rooms.get(worker_id)
-            if (room is not None and worker.free().plus(room).holds(need)
+            if (room is not None
+                    and worker.free_capacity().plus(room).holds(need)
                     and placing.allowed(worker, service, task)):
                 rooms[worker_id] = room.minus(need)
                 return True
@@ -50,7 +51,7 @@
 
     def started(self, worker: workerstate.WorkerState) -> None:
         """Note a start; if it is the last for now, others wait behind it."""
-        if self.rooms is not None and not worker.takes_starts():
+        if self.rooms is not None and not worker.accepts_starts():
             self.rooms.setdefault(worker.entry.worker_id, messages.Room())
 
     def drop(self, worker: workerstate.WorkerState) -> None:
--- a/sycamorefield/fleet/crashes.py
+++ b/sycamorefield/fleet/crashes.py
@@ -58,19 +58,19 @@
     with fleet.lock:
         worker = fleet.workers.get(worker_id)
         suspects = [] if worker is None else _suspects(fleet, worker, reborn)
-        fleet.worker_dead(worker_id, reason)
+        fleet.mark_dead(worker_id, reason)
         for suspect in suspects:
             if suspect.task.job is not None:
                 suspect.task.job.dirty = True
-                fleet.commit_now = True
-                fleet.settle(suspect.task.job)
+                fleet.commit_requested = True
+                fleet.update_job_state(suspect.task.job)
 
 
 def _suspects(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
               reborn: bool) -> list[Exposed]:
     """Return the tasks that a crash is held against, having noted it."""
     now = clock.now()
-    at = worker.silent_at if worker.silent else now
+    at = worker.unresponsive_since if worker.unresponsive else now
     on_trial = fleet.trials.on(worker.entry.worker_id)
     exposed = _exposed(fleet, worker, at)
     tried = [e for e in exposed if e.task in on_trial]
@@ -119,12 +119,12 @@
     """Return the tasks that may have been at work when a worker ended."""
     found = []
     for (name, run), task in worker.tasks.items():
-        begun = (name, run) not in worker.unsent | worker.never_began
+        begun = (name, run) not in worker.unsent_starts | worker.refused_starts
         if begun and fleet.is_current(worker, task, run):
             # A start without an answer may have been carried out just then.
             age_s = max(0.0, at - task.started) if task.started else 0.0
             found.append(Exposed(task, run, age_s))
-    if worker.reported:
+    if worker.has_reported:
         return found
     # An earlier owner set the worker aside for these.
     here = {one.task for one in found}
@@ -143,9 +143,9 @@
              at: float, now: float, reborn: bool) -> Verdict:
     if worker.entry.draining:
         return Verdict.DRAINED
-    if not (worker.listed or worker.was_listed):
+    if not (worker.listed or worker.ever_listed):
         return Verdict.UNLISTED
-    if not fleet.saw_drains(at, now):
+    if not fleet.would_show_drain(at, now):
         return Verdict.OLD_LIST
     if now - at > SILENT_AT_MOST_S and not reborn:
         return Verdict.DARK
@@ -166,8 +166,8 @@
     mates = [w for w in fleet.workers.values()
              if w.entry.rack() == rack and not w.entry.draining
              and w.entry.worker_id != entry.worker_id]
-    lost = sum(w.silent and w.silent_at >= since for w in mates)
+    lost = sum(w.unresponsive and w.unresponsive_since >= since for w in mates)
     lost += sum(ended.rack == rack and ended.at >= since
-                for ended in fleet.ended_lately)
-    fine = sum(w.reported and not w.silent for w in mates)
+                for ended in fleet.recent_failures)
+    fine = sum(w.has_reported and not w.unresponsive for w in mates)
     return lost > fine
--- a/sycamorefield/fleet/gangs.py
+++ b/sycamorefield/fleet/gangs.py
@@ -28,15 +28,15 @@
     step = tasks[0].step
     reserved = step.reserved()
     chosen: list[workerstate.WorkerState] = []
-    for worker in sorted(workers, key=lambda w: -w.free().cpu):
+    for worker in sorted(workers, key=lambda w: -w.free_capacity().cpu):
         if not placing.allowed(worker, service, tasks[0]):
             continue
-        free = worker.free()
+        free_capacity = worker.free_capacity()
         there = 0
-        while (len(chosen) < len(tasks) and free.holds(reserved)
+        while (len(chosen) < len(tasks) and free_capacity.holds(reserved)
                and not (step.max_per_worker
                         and there >= step.max_per_worker)):
             chosen.append(worker)
-            free = free.minus(reserved)
+            free_capacity = free_capacity.minus(reserved)
             there += 1
     return chosen if len(chosen) == len(tasks) else []
--- a/sycamorefield/fleet/gaps.py
+++ b/sycamorefield/fleet/gaps.py
@@ -49,7 +49,7 @@
         if not step.max_per_worker:
             return True
         name = task.task
-        there = worker.count_of(name.job_id, name.occurrence, name.step)
+        there = worker.count_runs(name.job_id, name.occurrence, name.step)
         return there + self.claims[name.step_id()] < step.max_per_worker
 
 
@@ -106,7 +106,7 @@
 
 
 def _candidate(worker: workerstate.WorkerState) -> Candidate:
-    soon = late = free = worker.free()
+    soon = late = free_capacity = worker.free_capacity()
     for task in worker.tasks.values():
         stopping = task.phase == progress.STOPPING
         if task.step.perpetual and not stopping:
@@ -115,4 +115,4 @@
         late = late.plus(room)
         if stopping or task.step.estimate_ms <= SHORT_RUN_MS:
             soon = soon.plus(room)
-    return Candidate(worker, free, soon, late)
+    return Candidate(worker, free_capacity, soon, late)
--- a/sycamorefield/fleet/headroom.py
+++ b/sycamorefield/fleet/headroom.py
@@ -97,7 +97,7 @@
 
     def _usable(self, worker: workerstate.WorkerState, taken: int) -> float:
         """Return the gaps of a worker that short tasks could use."""
-        room = worker.entry.capacity.cpu - worker.lasting_cpu - taken
+        room = worker.entry.capacity.cpu - worker.long_running_cpu - taken
         return self.width * max(0, math.floor(room / self.width))
 
     def _loss(self, worker: workerstate.WorkerState, cpu: int) -> float:
--- a/sycamorefield/fleet/link.py
+++ b/sycamorefield/fleet/link.py
@@ -23,22 +23,22 @@
 # Tails are watched more closely where tasks that fill run beside tasks that
 # serve, and most where one is near its target; the figures are half a second
 # old anyway.
-WATCHFUL_WAIT_MS = 800
-WORRIED_WAIT_MS = 400
-WORRIED_AT = 0.4
+SHARED_WAIT_MS = 800
+NEAR_TARGET_WAIT_MS = 400
+NEAR_TARGET_RATIO = 0.4
 # The end of a trial shows in a report, and others wait for the worker.
-TRIAL_WAIT_MS = 150
-RETRY_PAUSE_S = 0.15
+QUARANTINE_WAIT_MS = 150
+RETRY_DELAY_S = 0.15
 # A report repeats ends until they are recorded; asking again before that
 # would be answered at once.
 RECORD_WAIT_S = 0.4
-START_TRIES = 2
+START_ATTEMPTS = 2
 # An address that refuses this many connections in a row, 0.15 s apart, has
 # no process any more.
-REFUSALS_TO_END = 2
+REFUSALS_UNTIL_DEAD = 2
 NO_LEASE = "no lease may be given"
 
-MayAct = typing.Callable[[], bool]
+Permission = typing.Callable[[], bool]
 
 
 class OrderQueue:
@@ -49,22 +49,22 @@
     """
 
     def __init__(self) -> None:
-        self.waiting: queue.PriorityQueue[
+        self.entries: queue.PriorityQueue[
             tuple[bool, int, state_mod.Order | None]] = queue.PriorityQueue()
-        self.numbers = itertools.count()
+        self.sequence = itertools.count()
 
     def put(self, order: state_mod.Order | None) -> None:
         """Add an order; None ends the queue at once."""
         urgent = order is None or isinstance(order, messages.StopOrder)
-        self.waiting.put((not urgent, next(self.numbers), order))
+        self.entries.put((not urgent, next(self.sequence), order))
 
-    def put_behind(self, order: state_mod.Order) -> None:
+    def requeue(self, order: state_mod.Order) -> None:
         """Add an order that failed behind all that wait."""
-        self.waiting.put((True, next(self.numbers), order))
+        self.entries.put((True, next(self.sequence), order))
 
     def get(self) -> state_mod.Order | None:
         """Wait for the next order."""
-        return self.waiting.get()[2]
+        return self.entries.get()[2]
 
 
 class WorkerLink:
@@ -72,14 +72,14 @@
 
     def __init__(self, entry: messages.WorkerEntry,
                  worker: surroundings.Worker, fleet: state_mod.FleetState,
-                 may_act: MayAct, may_lease: MayAct,
-                 deposed: typing.Callable[[str], None]) -> None:
+                 may_act: Permission, may_lease: Permission,
+                 step_down: typing.Callable[[str], None]) -> None:
         self.worker_id = entry.worker_id
         self.worker = worker
         self.fleet = fleet
         self.may_act = may_act
         self.may_lease = may_lease
-        self.deposed = deposed
+        self.step_down = step_down
         self.closed = False
         self.refusals = 0
         self.recorded = threading.Event()
@@ -88,11 +88,11 @@
 
     def start(self) -> None:
         """Begin both tasks."""
-        for target in (self._reports, self._orders):
-            threading.Thread(target=self._guarded, args=(target,),
+        for target in (self._renew_leases, self._send_orders):
+            threading.Thread(target=self._run_guarded, args=(target,),
                              daemon=True).start()
 
-    def _guarded(self, target: typing.Callable[[], None]) -> None:
+    def _run_guarded(self, target: typing.Callable[[], None]) -> None:
         """Hand the fleet over on an unexpected error.
 
         A worker without one of its tasks would keep its place, but its
@@ -103,7 +103,7 @@
         except Exception as exc:
             events.emit(events.THREAD_FAILED, reason=repr(exc),
                         where=events.place(exc), worker=self.worker_id)
-            self.deposed("unexpected error")
+            self.step_down("unexpected error")
 
     def close(self) -> None:
         """End both tasks after the calls under way."""
@@ -111,13 +111,13 @@
         self.orders.put(None)
         self.recorded.set()
 
-    def mark_seen(self, number: int) -> None:
+    def acknowledge_ends(self, number: int) -> None:
         """Let the worker forget ends up to a number: they are stored."""
         if number > self.recorded_upto:
             self.recorded_upto = number
             self.recorded.set()
 
-    def _until(self) -> float | None:
+    def _lease_end_ms(self) -> float | None:
         """Return the end of a lease given now, or None to give none.
 
         A silent worker is only asked: a call without an answer may still be
@@ -133,87 +133,89 @@
             return None
         with self.fleet.lock:
             worker = self.fleet.workers.get(self.worker_id)
-            if worker is None or worker.silent:
+            if worker is None or worker.unresponsive:
                 return None
-            return worker.lease_until(
+            return worker.grant_lease(
                 min(workerstate.LEASE_MS, self.fleet.hold_max_ms), now)
 
-    def _wait_ms(self) -> int:
+    def _report_wait_ms(self) -> int:
         with self.fleet.lock:
             worker = self.fleet.workers.get(self.worker_id)
-            if worker is None or not worker.reported or worker.silent:
+            if (worker is None or not worker.has_reported
+                    or worker.unresponsive):
                 return 0
-            if self.fleet.without_store:
-                return WORRIED_WAIT_MS
+            if self.fleet.store_unreachable:
+                return NEAR_TARGET_WAIT_MS
             if self.fleet.trials.on(self.worker_id):
-                return TRIAL_WAIT_MS
-            if worker.serving and worker.filling_cpu:
-                worst = max((t.ratio for t in worker.tails), default=1.0)
-                return (WORRIED_WAIT_MS if worst > WORRIED_AT
-                        else WATCHFUL_WAIT_MS)
+                return QUARANTINE_WAIT_MS
+            if worker.target_runs and worker.best_effort_cpu:
+                worst = max(
+                    (t.ratio for t in worker.tail_latencies), default=1.0)
+                return (NEAR_TARGET_WAIT_MS if worst > NEAR_TARGET_RATIO
+                        else SHARED_WAIT_MS)
             return REPORT_WAIT_MS
 
-    def _reports(self) -> None:
+    def _renew_leases(self) -> None:
         while not self.closed and self.may_act():
-            sent = clock.now()
+            sent_at = clock.now()
             self.recorded.clear()
             try:
                 report = self.worker.renew(
-                    self.fleet.fence, self.recorded_upto, self._until(),
-                    self._wait_ms())
+                    self.fleet.fence, self.recorded_upto, self._lease_end_ms(),
+                    self._report_wait_ms())
             except surroundings.OtherIncarnation:
                 crashes.worker_reborn(self.fleet, self.worker_id)
                 return
             except surroundings.OrderRejected as exc:
-                if self._fenced(exc):
+                if self._check_fenced(exc):
                     return
-                self._failed(exc)
+                self._handle_failure(exc)
                 continue
             except surroundings.NobodyListens as exc:
-                if self._nobody_listens(exc):
+                if self._handle_refusal(exc):
                     return
                 continue
             except surroundings.CallFailed as exc:
-                self._failed(exc)
+                self._handle_failure(exc)
                 continue
             if self.closed:
                 return
             self.refusals = 0
-            came = clock.now()
-            new_ends = reports.take(self.fleet, self.worker_id, report, sent,
-                                    came)
-            metrics.CALLS.record(usage.REPORT, clock.now() - came)
+            received_at = clock.now()
+            new_ends = reports.apply_report(
+                self.fleet, self.worker_id, report, sent_at, received_at)
+            metrics.CALLS.record(usage.REPORT, clock.now() - received_at)
             if new_ends or report.ended:
                 self.recorded.wait(RECORD_WAIT_S)
 
-    def _nobody_listens(self, exc: surroundings.NobodyListens) -> bool:
+    def _handle_refusal(self, exc: surroundings.NobodyListens) -> bool:
         """Note a refused connection; tell if the worker has ended.
 
         Its tasks then run elsewhere within half a second instead of when its
         leases are over, some seconds later.
         """
         self.refusals += 1
-        if (self.refusals >= REFUSALS_TO_END
-                and self.fleet.was_used(self.worker_id)):
+        if (self.refusals >= REFUSALS_UNTIL_DEAD
+                and self.fleet.has_listened(self.worker_id)):
             crashes.worker_refuses(self.fleet, self.worker_id)
             return True
-        self._failed(exc)
+        self._handle_failure(exc)
         return False
 
-    def _fenced(self, exc: surroundings.OrderRejected) -> bool:
+    def _check_fenced(self, exc: surroundings.OrderRejected) -> bool:
         """Step down if a rejection shows that there is a successor."""
         if exc.reason != surroundings.FENCED:
             return False
-        self.deposed(f"fenced by worker {self.worker_id}")
+        self.step_down(f"fenced by worker {self.worker_id}")
         return True
 
-    def _failed(self, exc: Exception) -> None:
-        self.fleet.worker_silent(
+    def _handle_failure(self, exc: Exception) -> None:
+        self.fleet.mark_unresponsive(
             self.worker_id, str(exc),
             isinstance(exc, surroundings.ConnectionClosed))
-        threading.Event().wait(RETRY_PAUSE_S)
+        threading.Event().wait(RETRY_DELAY_S)
 
-    def _orders(self) -> None:
+    def _send_orders(self) -> None:
         while True:
             order = self.orders.get()
             if order is None or self.closed:
@@ -233,14 +235,14 @@
             self._send_pace(order)
 
     def _send_start(self, order: messages.StartOrder) -> None:
-        never_began = True
-        for attempt in range(START_TRIES):
+        refused = True
+        for attempt in range(START_ATTEMPTS):
             if not self.may_act():
                 return
-            if attempt == 0 and not answers.still_wanted(
+            if attempt == 0 and not answers.should_send(
                     self.fleet, self.worker_id, order):
                 return
-            until = self._until()
+            until = self._lease_end_ms()
             if until is None and attempt == 0:
                 answers.rejected(self.fleet, self.worker_id, order, NO_LEASE,
                                  clock.now())
@@ -254,15 +256,15 @@
                                 clock.now())
                 return
             except surroundings.OrderRejected as exc:
-                if not self._fenced(exc):
+                if not self._check_fenced(exc):
                     self._rejected(order, exc.reason, attempt)
                 return
             except surroundings.CallFailed as exc:
-                never_began &= isinstance(exc, surroundings.NobodyListens)
+                refused &= isinstance(exc, surroundings.NobodyListens)
                 events.emit(events.RUN_UNCERTAIN, task=str(order.task),
                             run=order.run, worker=self.worker_id,
                             reason=str(exc))
-        answers.uncertain(self.fleet, self.worker_id, order, never_began)
+        answers.uncertain(self.fleet, self.worker_id, order, refused)
 
     def _rejected(self, order: messages.StartOrder, reason: str,
                   attempt: int) -> None:
@@ -286,12 +288,12 @@
             self.worker.stop(order, self.fleet.fence)
             answers.stopped(self.fleet, self.worker_id, order, clock.now())
         except surroundings.OrderRejected as exc:
-            if not self._fenced(exc):
-                self._failed(exc)
-                self.orders.put_behind(order)
+            if not self._check_fenced(exc):
+                self._handle_failure(exc)
+                self.orders.requeue(order)
         except surroundings.CallFailed as exc:
-            self._failed(exc)
-            self.orders.put_behind(order)
+            self._handle_failure(exc)
+            self.orders.requeue(order)
 
     def _send_pace(self, order: messages.PaceOrder) -> None:
         if not self.may_act():
@@ -299,7 +301,7 @@
         try:
             self.worker.pace(order, self.fleet.fence)
         except surroundings.OrderRejected as exc:
-            self._fenced(exc)
+            self._check_fenced(exc)
         except surroundings.CallFailed:
             # The next report shows whether the tail came down; the pace is
             # sent again with the next change.
--- a/sycamorefield/fleet/owner.py
+++ b/sycamorefield/fleet/owner.py
@@ -102,9 +102,9 @@
         if self.over.is_set():
             return False
         now = clock.now()
-        self.fleet.without_store = now - self.renewed > OWN_LEASE_S
-        return (not self.fleet.without_store
-                or self.fleet.obeyed_by_most(now))
+        self.fleet.store_unreachable = now - self.renewed > OWN_LEASE_S
+        return (not self.fleet.store_unreachable
+                or self.fleet.has_quorum(now))
 
     def lease_renewed(self, sent: float) -> None:
         """Note that a call sent at a moment has renewed the owner's lease.
@@ -113,12 +113,12 @@
         least from the moment at which it was sent.
         """
         self.renewed = sent
-        lapsed = self.fleet.leased_until < clock.now()
-        self.fleet.leased_until = sent + OWN_LEASE_S
+        lapsed = self.fleet.owner_lease_until < clock.now()
+        self.fleet.owner_lease_until = sent + OWN_LEASE_S
         if lapsed:
             # Jobs seen meanwhile were held back.
             with self.fleet.lock:
-                self.fleet.notify()
+                self.fleet.request_round()
 
     def step_down(self, reason: str) -> None:
         """Give no orders from now on."""
@@ -129,7 +129,7 @@
         self.recorder.stopped.set()
         self.roster.close()
         with self.fleet.lock:
-            self.fleet.wake.notify_all()
+            self.fleet.round_requested.notify_all()
 
     def run(self) -> None:
         """Recover, then decide until stepping down."""
@@ -223,8 +223,8 @@
         ended = clock.now()
         while self.may_act():
             with self.fleet.lock:
-                if not self.fleet.changed:
-                    self.fleet.wake.wait(TICK_S)
+                if not self.fleet.round_needed:
+                    self.fleet.round_requested.wait(TICK_S)
             now = clock.now()
             waited_s = now - ended
             self.fleet.expire(now)
--- a/sycamorefield/fleet/pacer.py
+++ b/sycamorefield/fleet/pacer.py
@@ -44,22 +44,22 @@
                    and task.phase != progress.STOPPING]
         beside = [weights.Filler(task.step.image, row.figure / 1000.0)
                   for row, task in filling]
-        worker.tails = []
+        worker.tail_latencies = []
         worker.unused_cpu = 0.0
         for row, task in rows:
             if (task.step.target_ms and row.percent >= 100
                     and row.figure > 0):
                 self._take_tail(worker, row, task, beside, now)
         if not placing.saturated(worker):
-            for tail in worker.tails:
+            for tail in worker.tail_latencies:
                 self.learnt.observe(tail, beside)
         worker.over_reports = pacing.over_reports(worker.over_reports,
-                                                  worker.tails)
+                                                  worker.tail_latencies)
         if not filling or not self.paces:
             return
-        may_ease = now - worker.eased_at >= pacing.EASE_PAUSE_S
+        may_ease = now - worker.pace_raised_at >= pacing.EASE_PAUSE_S
         shares = pacing.paces(
-            worker.tails,
+            worker.tail_latencies,
             [pacing.Paced(task.step.image, task.step.room.cpu / 1000.0,
                           row.figure / 1000.0, task.pace)
              for row, task in filling],
@@ -73,7 +73,7 @@
         tail = self.learnt.tail(
             task.step.image, row.figure, task.step.target_ms,
             name.step_id(), (worker.entry.worker_id, name.number), beside, now)
-        worker.tails.append(tail)
+        worker.tail_latencies.append(tail)
         worker.unused_cpu += task.step.room.cpu * (
             1.0 - tail.expected_load())
 
@@ -85,7 +85,7 @@
             if task.pace == share or share < 0:
                 continue
             if share > task.pace:
-                worker.eased_at = now
+                worker.pace_raised_at = now
             changes.append((str(task.task), task.run, task.step.image,
                             share, task.pace))
             if share <= STALLED_PACE < task.pace:
@@ -95,6 +95,6 @@
                       messages.PaceOrder(task.task, task.run, share))
         if changes:
             # Each change: task, run, image, new pace, pace before.
-            worst = max((t.ratio for t in worker.tails), default=0.0)
+            worst = max((t.ratio for t in worker.tail_latencies), default=0.0)
             events.emit(events.PACE_CHANGED, worst=round(worst, 2),
                         worker=worker.entry.worker_id, changes=changes)
--- a/sycamorefield/fleet/placing.py
+++ b/sycamorefield/fleet/placing.py
@@ -26,7 +26,7 @@
     which disturbs every serving task, at high load.
     """
     return (worker.entry.capacity.cpu - worker.used.cpu + worker.unused_cpu
-            - worker.filling_cpu)
+            - worker.best_effort_cpu)
 
 
 def saturated(worker: workerstate.WorkerState) -> bool:
@@ -44,7 +44,7 @@
         return False
     if step.max_per_worker:
         name = task.task
-        there = worker.count_of(name.job_id, name.occurrence, name.step)
+        there = worker.count_runs(name.job_id, name.occurrence, name.step)
         if there >= step.max_per_worker:
             return False
     return True
@@ -53,16 +53,17 @@
 def fits(worker: workerstate.WorkerState, step: messages.Step,
          learnt: interference.Interference) -> bool:
     """Tell whether a worker has the room, and gets its starts, now."""
-    if not worker.takes_starts():
+    if not worker.accepts_starts():
         return False
     if step.fills and leftover_cpu(worker) < FILL_SHARE * step.room.cpu:
         return False
-    if not worker.free().holds(step.reserved()):
+    if not worker.free_capacity().holds(step.reserved()):
         return False
     if not step.fills or not learnt.limits:
         return True
     cores = step.room.cpu / 1000.0
-    return learnt.stays_below(worker.tails, step.image, cores, TAIL_LIMIT)
+    return learnt.stays_below(worker.tail_latencies, step.image, cores,
+                              TAIL_LIMIT)
 
 
 def choose(task: progress.TaskState, service: str,
@@ -124,8 +125,8 @@
     def best(self) -> workerstate.WorkerState | None:
         """Return the best worker as of now, or None if none has room."""
         while self.ranked:
-            _, place, changed, worker = self.ranked[0]
-            if worker.changed == changed:
+            _, place, change_number, worker = self.ranked[0]
+            if worker.change_number == change_number:
                 return worker
             rank = _rank(worker, self.task, self.service, self.learnt)
             if rank is None:
@@ -137,7 +138,7 @@
 
 def _entry(rank: Rank, place: int, worker: workerstate.WorkerState
            ) -> tuple[Rank, int, int, workerstate.WorkerState]:
-    return tuple(-part for part in rank), place, worker.changed, worker
+    return tuple(-part for part in rank), place, worker.change_number, worker
 
 
 # Added harm below this (a tail 2% higher a core) counts as none.
@@ -147,7 +148,7 @@
 def _room_rank(worker: workerstate.WorkerState, step: messages.Step,
                learnt: interference.Interference) -> tuple[float, ...]:
     if step.fills:
-        harm = learnt.harm(worker.tails, step.image)
+        harm = learnt.harm(worker.tail_latencies, step.image)
         return (-round(harm / HARMLESS), leftover_cpu(worker))
     if step.target_ms:
         # Serving tasks of one image together: a filling image that harms
@@ -156,9 +157,11 @@
                   if task.step.target_ms]
         same = images.count(step.image)
         others = len(images) - same
-        return (-float(others), float(same > 0), -float(worker.free().cpu))
+        return (-float(others), float(same > 0),
+                -float(worker.free_capacity().cpu))
     # The smallest gap that fits: wide gaps stay for wide tasks.
-    return (-float(worker.free().cpu), -float(worker.free().mem_mb))
+    return (-float(worker.free_capacity().cpu),
+            -float(worker.free_capacity().mem_mb))
 
 
 def victims(task: progress.TaskState, service: str, priority: int,
@@ -185,21 +188,21 @@
                 priority_of: typing.Callable[[progress.TaskState], int]
                 ) -> list[progress.TaskState]:
     need = step.reserved()
-    free = worker.free()
-    if need.cpu > free.cpu and not worker.yielding:
+    free_capacity = worker.free_capacity()
+    if need.cpu > free_capacity.cpu and not worker.preemptible_runs:
         # Filling runs hold no processors; on a full fleet most runs fill.
         return []
     candidates = [t for t in worker.tasks.values()
                   if t.phase == progress.RUNNING and not t.step.perpetual
                   and priority_of(t) > priority]
-    if need.cpu > free.cpu and all(t.step.fills for t in candidates):
+    if need.cpu > free_capacity.cpu and all(t.step.fills for t in candidates):
         return []
     candidates.sort(key=lambda t: (t.step.checkpoint, t.started),
                     reverse=True)
     chosen: list[progress.TaskState] = []
     for task in candidates:
-        if free.holds(need):
+        if free_capacity.holds(need):
             break
         chosen.append(task)
-        free = free.plus(task.step.reserved())
-    return chosen if free.holds(need) else []
+        free_capacity = free_capacity.plus(task.step.reserved())
+    return chosen if free_capacity.holds(need) else []
--- a/sycamorefield/fleet/recorder.py
+++ b/sycamorefield/fleet/recorder.py
@@ -76,7 +76,7 @@
         """Write until stopped or deposed."""
         while not self.stopped.is_set() and self.may_act():
             with self.fleet.lock:
-                urgent = self.fleet.commit_now
+                urgent = self.fleet.commit_requested
             if not urgent:
                 self.stopped.wait(LINGER_S)
             if not self.flush():
@@ -93,9 +93,10 @@
 
     def _flush(self) -> bool:
         with self.fleet.lock:
-            self.fleet.commit_now = False
-            marks = {w.entry.worker_id: w.processed
-                     for w in self.fleet.workers.values() if w.processed}
+            self.fleet.commit_requested = False
+            marks = {w.entry.worker_id: w.last_processed_end
+                     for w in self.fleet.workers.values()
+                     if w.last_processed_end}
             values = self._job_values()
             self._fleet_value(values)
             self._count_value(values)
@@ -130,11 +131,11 @@
         """
         now = {w.entry.worker_id: w.entry.address
                for w in self.fleet.workers.values()}
-        for worker_id in self.fleet.unheard:
+        for worker_id in self.fleet.awaited_workers:
             if self.addresses and worker_id in self.addresses:
                 now.setdefault(worker_id, self.addresses[worker_id])
         if now != self.addresses:
-            self.fleet.will_store(now)
+            self.fleet.add_possible_list(now)
             values.append(Value(
                 records.FLEET_KEY, records.encode_addresses(now),
                 self.revisions.get(records.FLEET_KEY, 0), None))
@@ -146,7 +147,7 @@
             return
         # Counting holds the fleet's lock for each job that waits.
         self.counted_at = now
-        counts = self.fleet.waiting()
+        counts = self.fleet.count_waiting_jobs()
         if counts == self.counts:
             return
         self.counts = counts
@@ -159,7 +160,7 @@
         if time.monotonic() - self.learnt_at < LEARNT_PERIOD_S:
             return
         self.learnt_at = time.monotonic()
-        data = self.fleet.learnt.encode()
+        data = self.fleet.interference_model.encode()
         if data != self.learnt:
             self.learnt = data
             values.append(Value(
@@ -237,4 +238,4 @@
             return
         with self.fleet.lock:
             job.stored_trials = stored
-            self.fleet.notify()
+            self.fleet.request_round()
--- a/sycamorefield/fleet/recovery.py
+++ b/sycamorefield/fleet/recovery.py
@@ -65,7 +65,7 @@
         self.roster.contact_unlisted()
         events.emit(events.FLEET_RECOVERED, fence=self.fleet.fence,
                     jobs=len(self.fleet.active), workers=len(entries),
-                    unheard=len(self.fleet.unheard))
+                    unheard=len(self.fleet.awaited_workers))
         return jobs.revision
 
     def _log_taken_over(self) -> None:
@@ -92,14 +92,14 @@
             events.emit(events.RECORD_UNREADABLE, key=item.key,
                         reason=str(exc))
         if state.final():
-            self.fleet.drop_final(state)
+            self.fleet.deactivate_job(state)
         else:
             self.fleet.trials.inherit(state, clock.now())
 
     def _take_learnt(self, item: messages.Item) -> None:
         self.recorder.revisions[records.LEARNT_KEY] = item.revision
         try:
-            self.fleet.learnt.decode(item.value)
+            self.fleet.interference_model.decode(item.value)
         except ValueError as exc:
             events.emit(events.RECORD_UNREADABLE, key=item.key,
                         reason=str(exc))
@@ -115,5 +115,5 @@
             return
         self.recorder.revisions[records.FLEET_KEY] = item.revision
         self.recorder.addresses = records.decode_mapping(item.value)
-        until = clock.now() + WITHOUT_STORE_S + workerstate.LEASE_OVER_S
-        self.fleet.expect(self.recorder.addresses, until)
+        until = clock.now() + WITHOUT_STORE_S + workerstate.LEASE_EXPIRY_S
+        self.fleet.await_workers(self.recorder.addresses, until)
--- a/sycamorefield/fleet/reports.py
+++ b/sycamorefield/fleet/reports.py
@@ -10,61 +10,62 @@
 from sycamorefield.fleet import workerstate
 
 # A task that keeps failing at once is not restarted faster than this.
-RESTART_PAUSE_S = 0.2
+RESTART_DELAY_S = 0.2
 # A worker forgets and lists at most this many ends in one report.
-ENDS_PER_REPORT = 500
+MAX_ENDS_PER_REPORT = 500
 # An unexpected run is told to stop again when it is still there after this.
-STOP_AGAIN_S = 1.0
+STOP_RETRY_S = 1.0
 # Marks a filling run of the previous owner, whose share is not known.
 UNKNOWN_PACE = -1
 
 
-def take(fleet: state_mod.FleetState, worker_id: str,
-         report: messages.WorkerReport, sent: float, now: float) -> bool:
+def apply_report(fleet: state_mod.FleetState, worker_id: str,
+                 report: messages.WorkerReport, sent_at: float,
+                 now: float) -> bool:
     """Take in a report; tell if it holds ends not seen before."""
     with fleet.lock:
         worker = fleet.workers.get(worker_id)
         if worker is None:
             return False
-        worker.heard(report.clock_ms, now)
+        worker.sync_clock(report.clock_ms, now)
         worker.reported_at = now
-        worker.obeyed_at = max(worker.obeyed_at, sent)
+        worker.acknowledged_at = max(worker.acknowledged_at, sent_at)
         # Without news nothing waits for a round: figures alone, a few
         # hundred reports a second, change no more than the next tick
         # takes in, and a round for each left no time for anything else.
-        news = worker.silent or not worker.reported
-        if worker.silent:
+        needs_round = worker.unresponsive or not worker.has_reported
+        if worker.unresponsive:
             events.emit(events.WORKER_REGAINED, worker=worker_id)
-            worker.silent = worker.closed = False
-        if not worker.reported:
+            worker.unresponsive = worker.connection_closed = False
+        if not worker.has_reported:
             # The earlier owner may have given leases up to the longest.
-            worker.granted_ms = max(
-                worker.granted_ms, report.clock_ms + min(
+            worker.granted_until_ms = max(
+                worker.granted_until_ms, report.clock_ms + min(
                     workerstate.LEASE_MS, fleet.hold_max_ms))
         new_ends = False
         for ended in report.ended:
-            if ended.number > worker.processed:
-                worker.processed = ended.number
+            if ended.number > worker.last_processed_end:
+                worker.last_processed_end = ended.number
                 new_ends = True
-                _ended(fleet, worker, ended, now)
+                _record_end(fleet, worker, ended, now)
         for row in report.running:
-            _running(fleet, worker, row, now)
-        if len(report.ended) < ENDS_PER_REPORT:
+            _process_running(fleet, worker, row, now)
+        if len(report.ended) < MAX_ENDS_PER_REPORT:
             # A full list may leave out ends of tasks that seem to wait.
-            news |= _missing(fleet, worker, report, sent)
-            worker.reported = True
-            fleet.unheard.pop(worker_id, None)
+            needs_round |= _release_missing(fleet, worker, report, sent_at)
+            worker.has_reported = True
+            fleet.awaited_workers.pop(worker_id, None)
         fleet.pacer.take(worker, report, now)
-        worker.stalls = any(pacer.stalls(task)
-                            for task in worker.tasks.values())
-        worker.touch()
-        if news or new_ends:
-            fleet.notify()
+        worker.has_stalled_run = any(pacer.stalls(task)
+                                     for task in worker.tasks.values())
+        worker.record_change()
+        if needs_round or new_ends:
+            fleet.request_round()
         return new_ends
 
 
-def _ended(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
-           ended: messages.EndedTask, now: float) -> None:
+def _record_end(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
+                ended: messages.EndedTask, now: float) -> None:
     found = fleet.find(ended.task)
     fleet.run_log.add_ended(ended.task, ended.run,
                             worker.entry.worker_id, ended.how)
@@ -72,7 +73,7 @@
         return
     job, task = found
     current = fleet.is_current(worker, task, ended.run)
-    began = task.started if current else 0.0
+    started_at = task.started if current else 0.0
     worker.release((ended.task, ended.run), task.step)
     task.last_run = max(task.last_run, ended.run)
     task.begun = True
@@ -82,25 +83,25 @@
         return
     job.note_ran(task)
     if ended.how == messages.DONE:
-        _done(fleet, job, task, worker, began, now)
+        _record_success(fleet, job, task, worker, started_at, now)
     elif ended.how == messages.FAILED:
-        _failed(fleet, job, task, worker, ended.run, now)
+        _record_failure(fleet, job, task, worker, ended.run, now)
     elif ended.saved:
         task.saved = ended.saved
         job.dirty = True
-    fleet.settle(job)
+    fleet.update_job_state(job)
 
 
-def _done(fleet: state_mod.FleetState, job: progress.JobState,
-          task: progress.TaskState, worker: workerstate.WorkerState,
-          began: float, now: float) -> None:
-    worker.succeeded()
+def _record_success(fleet: state_mod.FleetState, job: progress.JobState,
+                    task: progress.TaskState, worker: workerstate.WorkerState,
+                    started_at: float, now: float) -> None:
+    worker.record_success()
     if task.step.perpetual:
         return
-    if began:
-        task.earlier_s = now - began
-    if demand.is_short(task.step) and began:
-        fleet.demand.add_run(job.job.queue, now - began)
+    if started_at:
+        task.earlier_s = now - started_at
+    if demand.is_short(task.step) and started_at:
+        fleet.demand.add_run(job.job.queue, now - started_at)
     place = (task.task.occurrence, task.task.step)
     members = job.tasks[place] if task.step.gang else [task]
     for member in members:
@@ -111,25 +112,26 @@
     job.dirty = True
 
 
-def _failed(fleet: state_mod.FleetState, job: progress.JobState,
-            task: progress.TaskState, worker: workerstate.WorkerState,
-            run: int, now: float) -> None:
+def _record_failure(fleet: state_mod.FleetState, job: progress.JobState,
+                    task: progress.TaskState, worker: workerstate.WorkerState,
+                    run: int, now: float) -> None:
     task.avoid.add(worker.entry.worker_id)
-    if worker.failed(now):
+    if worker.record_failure(now):
         events.emit(events.WORKER_AVOIDED, failures=worker.failures,
                     worker=worker.entry.worker_id)
     if task.step.perpetual:
-        task.not_before = now + RESTART_PAUSE_S
+        task.not_before = now + RESTART_DELAY_S
         return
     task.failed_runs.add(run)
     job.dirty = True
 
 
-def _running(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
-             row: messages.RunningTask, now: float) -> None:
+def _process_running(fleet: state_mod.FleetState,
+                     worker: workerstate.WorkerState,
+                     row: messages.RunningTask, now: float) -> None:
     found = fleet.find(row.task)
     if found is None:
-        _unexpected(fleet, worker, row, "no such job", now, None)
+        _stop_unexpected(fleet, worker, row, "no such job", now, None)
         return
     job, task = found
     task.last_run = max(task.last_run, row.run)
@@ -142,22 +144,22 @@
             task.saved = row.saved
         if not task.stuck and slowness.stuck(task, now):
             task.stuck = True
-            _slow(fleet, worker, task, now)
+            _mark_stuck(fleet, worker, task, now)
         if task.phase == progress.STARTING:
             # Its answer comes later, or not at all.
             task.phase = progress.RUNNING
             task.moved_at = task.started = now
         return
     if job.final() or task.done:
-        _unexpected(fleet, worker, row, "already over", now, task)
+        _stop_unexpected(fleet, worker, row, "already over", now, task)
     elif task.phase == progress.IDLE:
         _adopt(worker, job, task, row, now)
     else:
-        _unexpected(fleet, worker, row, "runs elsewhere", now, task)
+        _stop_unexpected(fleet, worker, row, "runs elsewhere", now, task)
 
 
-def _slow(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
-          task: progress.TaskState, now: float) -> None:
+def _mark_stuck(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
+                task: progress.TaskState, now: float) -> None:
     """Avoid a worker on which several tasks make no progress."""
     task.avoid.add(worker.entry.worker_id)
     stuck = sum(1 for other in worker.tasks.values() if other.stuck)
@@ -181,10 +183,11 @@
         task.pace = UNKNOWN_PACE
 
 
-def _unexpected(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
-                row: messages.RunningTask, reason: str, now: float,
-                task: progress.TaskState | None) -> None:
-    if task is not None and now - task.stop_sent < STOP_AGAIN_S:
+def _stop_unexpected(fleet: state_mod.FleetState,
+                     worker: workerstate.WorkerState,
+                     row: messages.RunningTask, reason: str, now: float,
+                     task: progress.TaskState | None) -> None:
+    if task is not None and now - task.stop_sent < STOP_RETRY_S:
         return
     if task is not None:
         task.stop_sent = now
@@ -194,8 +197,9 @@
                messages.StopOrder(row.task, row.run))
 
 
-def _missing(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
-             report: messages.WorkerReport, sent: float) -> bool:
+def _release_missing(fleet: state_mod.FleetState,
+                     worker: workerstate.WorkerState,
+                     report: messages.WorkerReport, sent_at: float) -> bool:
     """Free runs that neither run nor ended; tell if there were any.
 
     An order without an answer may never have arrived.  It counts as
@@ -209,7 +213,7 @@
             continue
         if fleet.is_current(worker, task, run[1]):
             if (task.phase == progress.STARTING
-                    or not 0 < task.moved_at < sent):
+                    or not 0 < task.moved_at < sent_at):
                 continue
             task.idle()
             events.emit(events.RUN_VANISHED, task=str(run[0]),
--- a/sycamorefield/fleet/roster.py
+++ b/sycamorefield/fleet/roster.py
@@ -43,7 +43,7 @@
         for worker_id, number in marks.items():
             link = self.links.get(worker_id)
             if link is not None:
-                link.mark_seen(number)
+                link.acknowledge_ends(number)
 
     def close(self) -> None:
         """End all links after the calls under way, and any begun later."""
@@ -60,7 +60,7 @@
         """
         with self.fleet.lock:
             links = [self._take_entry(entry) for entry in entries]
-            self.fleet.unlist(
+            self.fleet.update_listed(
                 {entry.worker_id for entry in entries},
                 clock.now() if read_at is None else read_at)
         for link in links:
@@ -85,7 +85,7 @@
     def contact_unlisted(self) -> None:
         """Ask workers in use that the list has lost, at their address."""
         addresses = self.addresses()
-        for worker_id in list(self.fleet.unheard):
+        for worker_id in list(self.fleet.awaited_workers):
             if worker_id in self.links or not addresses:
                 continue
             entry = messages.WorkerEntry(
--- a/sycamorefield/fleet/rounds.py
+++ b/sycamorefield/fleet/rounds.py
@@ -111,7 +111,7 @@
             return
         roomiest = sorted((w for w in self.usable
                            if w.entry.service == site.service),
-                          key=lambda w: -w.free().cpu)
+                          key=lambda w: -w.free_capacity().cpu)
         self.fleet.advice.want(
             left[0].task.step_id(),
             (w.entry.worker_id for w in roomiest), queue.advice, self.now)
@@ -162,7 +162,7 @@
                 self._start(state, task, worker, site)
                 return True
             self.shortage.add(scope, need)
-            self.fleet.no_room.add(scope, need)
+            self.fleet.placement_misses.add(scope, need)
         return self._wait_for_room(state, task, site, scope)
 
     def _wait_for_room(self, state: progress.JobState,
@@ -184,12 +184,12 @@
             return placing.choose(
                 task, site.service,
                 self._untried(task, site, site.scope(task)),
-                self.fleet.learnt)
+                self.fleet.interference_model)
         if self.ranking is None:
             self.ranking = placing.Ranking(
                 task, site.service,
                 self._untried(task, site, site.scope(task)),
-                self.fleet.learnt)
+                self.fleet.interference_model)
         return self.ranking.best()
 
     def _untried(self, task: progress.TaskState, site: Site,
@@ -197,8 +197,8 @@
         """Return the workers that may have room for a task by now."""
         if site.tickets is not None or not self.policy.remember_shortage:
             return site.workers
-        return self.fleet.no_room.untried(scope, task.step.room,
-                                          site.workers)
+        return self.fleet.placement_misses.untried(scope, task.step.room,
+                                                   site.workers)
 
     def _exclude(self, worker: workerstate.WorkerState,
                  *lists: list[workerstate.WorkerState]) -> None:
@@ -216,7 +216,7 @@
     def finish(self) -> None:
         """Let the next round try what this one left out."""
         for worker in self.excluded:
-            worker.touch()
+            worker.record_change()
 
     def _place_lasting(self, state: progress.JobState,
                        task: progress.TaskState, site: Site,
@@ -234,7 +234,7 @@
         if not self.shortage.covers(scope, need):
             worker = (self._choose(task, site) if workers is site.workers
                       else placing.choose(task, site.service, workers,
-                                          self.fleet.learnt))
+                                          self.fleet.interference_model))
             if worker is not None:
                 self._start(state, task, worker, site)
                 return True
@@ -373,7 +373,7 @@
         members = [(task, worker.entry.worker_id)
                    for task, worker in zip(tasks, chosen)]
         self.fleet.trials.add(trials.Trial(state, members, self.now))
-        state.dirty = self.fleet.commit_now = True
+        state.dirty = self.fleet.commit_requested = True
         for worker in chosen:
             self.coming.drop(worker)
             self._exclude(worker, self.usable, site.workers)
@@ -388,7 +388,7 @@
                 chosen = gangs.choose(tasks, site.service, workers)
             else:
                 best = placing.choose(tasks[0], site.service, workers,
-                                      self.fleet.learnt)
+                                      self.fleet.interference_model)
                 chosen = [best] if best is not None else []
             if chosen:
                 return chosen
@@ -397,7 +397,8 @@
     def move_stalled(self) -> None:
         """Stop runs that make little progress if others have room."""
         for worker in self.fleet.workers.values():
-            for task in list(worker.tasks.values()) if worker.stalls else ():
+            for task in (list(worker.tasks.values())
+                         if worker.has_stalled_run else ()):
                 if not self._stalled(task):
                     continue
                 target = self._better_place(worker, task)
@@ -419,13 +420,13 @@
         others = [w for w in self._untried(task, site, scope)
                   if w is not worker]
         target = placing.choose(task, site.service, others,
-                                self.fleet.learnt)
+                                self.fleet.interference_model)
         if target is None:
             self.shortage.add(scope, task.step.room)
             if site.tickets is None and not placing.fits(
-                    worker, task.step, self.fleet.learnt):
+                    worker, task.step, self.fleet.interference_model):
                 # Nor could another such run start where this one is.
-                self.fleet.no_room.add(scope, task.step.room)
+                self.fleet.placement_misses.add(scope, task.step.room)
         return target
 
     def _stalled(self, task: progress.TaskState) -> bool:
@@ -456,12 +457,12 @@
         remembers = (site.tickets is None and not task.step.perpetual
                      and self.policy.remember_shortage)
         if remembers:
-            workers = self.fleet.no_victims.untried(scope, task.step.room,
-                                                    workers)
+            workers = self.fleet.preemption_misses.untried(
+                scope, task.step.room, workers)
         chosen = placing.victims(task, site.service, priority, workers,
                                  self._task_priority)
         if remembers and not chosen:
-            self.fleet.no_victims.add(scope, task.step.room)
+            self.fleet.preemption_misses.add(scope, task.step.room)
         return chosen
 
     def _task_priority(self, task: progress.TaskState) -> int:
@@ -472,24 +473,24 @@
 def place(fleet: state_mod.FleetState, now: float, wall_ms: float) -> None:
     """Start every task whose turn has come and that has room."""
     with fleet.lock:
-        fleet.changed = False
+        fleet.round_needed = False
         fleet.demand.begin(now)
         fleet.trials.review(fleet.workers, now)
         configuration = fleet.configuration()
         queues = configuration.by_name()
-        if configuration.version != fleet.placed_with:
+        if configuration.version != fleet.placed_config_version:
             # Priorities and services may have changed.
-            fleet.placed_with = configuration.version
-            fleet.no_room.clear()
-            fleet.no_victims.clear()
+            fleet.placed_config_version = configuration.version
+            fleet.placement_misses.clear()
+            fleet.preemption_misses.clear()
         ranked = ordering.ranked(
             (state for state in fleet.active.values() if not state.quiet),
             queues, wall_ms, now, fleet.policy.rank_by_lateness)
         round_ = Round(fleet, queues, _usable(fleet, now), now)
         for state in ranked:
-            if state.created <= fleet.fence and fleet.unheard:
+            if state.created <= fleet.fence and fleet.awaited_workers:
                 continue
-            if not fleet.ours_alone(state):
+            if not fleet.may_start(state):
                 continue
             _place_job(round_, state, wall_ms)
         if fleet.policy.move_stalled_runs:
@@ -504,14 +505,14 @@
     With an old list none may: the room of any may have shrunk since.
     """
     usable = []
-    list_is_new = now - fleet.listed_at <= state_mod.LIST_OLD_S
+    list_is_new = now - fleet.list_read_at <= state_mod.MAX_LIST_AGE_S
     for worker_id, worker in fleet.workers.items():
         is_usable = (list_is_new and worker.usable(now)
                      and worker_id not in fleet.trials.by_worker)
         if is_usable:
             usable.append(worker)
             if not worker.was_usable:
-                worker.touch()
+                worker.record_change()
         worker.was_usable = is_usable
     return usable
 
--- a/sycamorefield/fleet/shortage.py
+++ b/sycamorefield/fleet/shortage.py
@@ -86,13 +86,13 @@
         since = self.searched.get((scope, need))
         if since is None:
             return workers
-        return [w for w in workers if w.changed > since]
+        return [w for w in workers if w.change_number > since]
 
     def add(self, scope: Scope, need: messages.Room) -> None:
         """Note that a need has just found no room on any worker."""
         if len(self.searched) >= MOST_MISSES:
             self.searched.clear()
-        self.searched[scope, need] = next(workerstate.CHANGES)
+        self.searched[scope, need] = next(workerstate.CHANGE_NUMBERS)
 
     def clear(self) -> None:
         """Forget all, because rules for all workers have changed."""
--- a/sycamorefield/fleet/state.py
+++ b/sycamorefield/fleet/state.py
@@ -28,20 +28,20 @@
 
 # An owner without the store gives leases only while most workers took a
 # call of its within this time: a successor would have fenced them by then.
-OBEYED_S = 1.5
+QUORUM_WINDOW_S = 1.5
 # An entry goes after three heartbeats of about 1.1 s without one and a lag of
 # 0.8 s; until then the list names a worker that is known to have ended.
-ENTRY_LAPSES_S = 5.0
+ENTRY_TTL_S = 5.0
 # The room that a worker says it has counts as soon as 3 s after it shrank;
 # with an older list nothing more is started.
-LIST_OLD_S = 2.8
+MAX_LIST_AGE_S = 2.8
 # A worker that leaves is listed as draining for at least this long before.
 DRAIN_NOTICE_S = 2.0
 # How long ends of workers are remembered to tell failures of racks.
-ENDS_REMEMBERED_S = 5.0
+FAILURE_RETENTION_S = 5.0
 
 
-class EndedWorker(typing.NamedTuple):
+class FailedWorker(typing.NamedTuple):
     """Hold the rack of a worker that ended without notice, and when."""
 
     rack: str
@@ -60,45 +60,46 @@
         self.send = send
         self.configuration = configuration
         self.lock = threading.RLock()
-        self.wake = threading.Condition(self.lock)
+        self.round_requested = threading.Condition(self.lock)
         self.jobs: dict[str, progress.JobState] = {}
         self.active: dict[str, progress.JobState] = {}
         self.workers: dict[str, workerstate.WorkerState] = {}
         # Workers that an earlier owner used and that have not reported yet,
         # with the time from which nothing can run there any more.
-        self.unheard: dict[str, float] = {}
-        self.expected = 0
+        self.awaited_workers: dict[str, float] = {}
+        self.awaited_total = 0
         # Each list of workers in use that a successor may find stored: more
         # than one while it isn't known which of them is.
-        self.in_use: list[frozenset[str]] = [frozenset()]
+        self.possible_worker_lists: list[frozenset[str]] = [frozenset()]
         # When workers that may still be listed were known to have ended.
-        self.ended_at: dict[str, float] = {}
+        self.worker_ended_at: dict[str, float] = {}
         # Workers that ended without having announced it.
-        self.ended_lately: list[EndedWorker] = []
+        self.recent_failures: list[FailedWorker] = []
         # When the list of workers was read last, and since when it has been
         # read often enough to show each drain.
-        self.listed_at = math.inf
-        self.saw_drains_since = -math.inf
+        self.list_read_at = math.inf
+        self.drains_visible_since = -math.inf
         self.trials = trials.Trials()
         # Whether the store has not answered for longer than the owner's
         # lease: a successor may exist.
-        self.without_store = False
+        self.store_unreachable = False
         # Until when the owner's lease certainly holds, on clock.now().
-        self.leased_until = math.inf
-        self.learnt = interference.Interference(
+        self.owner_lease_until = math.inf
+        self.interference_model = interference.Interference(
             policy.learn_weights, policy.limit_tails, policy.follow_slopes)
         self.demand = demand.Demand()
-        self.pacer = pacer.Pacer(self.learnt, send, policy.pace_filling)
+        self.pacer = pacer.Pacer(
+            self.interference_model, send, policy.pace_filling)
         self.run_log = runlog.RunLog()
         self.advice = advice.AdviceBook(None)
-        self.advice.answered = self._answered
+        self.advice.answered = self._advice_arrived
         # What found no room, and what found no runs to stop for room.
-        self.no_room = shortage.Misses()
-        self.no_victims = shortage.Misses()
+        self.placement_misses = shortage.Misses()
+        self.preemption_misses = shortage.Misses()
         # The version of the configuration that the last round went by.
-        self.placed_with = 0
-        self.changed = False
-        self.commit_now = False
+        self.placed_config_version = 0
+        self.round_needed = False
+        self.commit_requested = False
 
     # Jobs
 
@@ -114,10 +115,10 @@
                 state.run_base = self.fence * progress.RUN_GAP
             self.jobs[job.job_id] = state
             self.active[job.job_id] = state
-            self.notify()
+            self.request_round()
             return state
 
-    def ours_alone(self, state: progress.JobState) -> bool:
+    def may_start(self, state: progress.JobState) -> bool:
         """Tell whether no successor can have started tasks of a job.
 
         What goes wrong without: an owner whose lease ended unnoticed still
@@ -128,9 +129,9 @@
         back until each worker in use has reported or its leases are over.
         """
         return (state.created <= self.fence
-                or state.known_at <= self.leased_until)
+                or state.known_at <= self.owner_lease_until)
 
-    def drop_final(self, state: progress.JobState) -> None:
+    def deactivate_job(self, state: progress.JobState) -> None:
         """Stop planning for a job whose stored state is final."""
         self.active.pop(state.job.job_id, None)
 
@@ -141,10 +142,10 @@
             if state is None or state.cancelled or state.final():
                 return
             state.cancelled = True
-            self.settle(state)
-            self.notify()
+            self.update_job_state(state)
+            self.request_round()
 
-    def settle(self, state: progress.JobState) -> None:
+    def update_job_state(self, state: progress.JobState) -> None:
         """End a job if its tasks say so, and stop what runs of it."""
         if not state.settle():
             return
@@ -152,7 +153,7 @@
                     state=state.state, reason=state.reason)
         self.active.pop(state.job.job_id, None)
         self.advice.forget(state.job.job_id)
-        self.commit_now = True
+        self.commit_requested = True
         for task in state.all_tasks():
             if task.phase in (progress.STARTING, progress.RUNNING):
                 self.stop_run(task, "job " + state.state)
@@ -167,18 +168,18 @@
             worker.stopping.add((task.task, task.run))
         self.send(task.worker_id, messages.StopOrder(task.task, task.run))
 
-    def waiting(self) -> dict[str, int]:
+    def count_waiting_jobs(self) -> dict[str, int]:
         """Return how many jobs of each queue no task has started of."""
         counts: dict[str, int] = {}
         with self.lock:
             for state in self.active.values():
-                if state.job.start_at_ms or self._begun(state):
+                if state.job.start_at_ms or self._has_begun(state):
                     continue
                 counts[state.job.queue] = counts.get(state.job.queue, 0) + 1
         return counts
 
     @staticmethod
-    def _begun(state: progress.JobState) -> bool:
+    def _has_begun(state: progress.JobState) -> bool:
         """Tell whether a worker has begun a task, as far as is known.
 
         An order may wait to be sent, or get no answer.
@@ -197,44 +198,44 @@
         Taken for gone by mistake, a worker's runs would be started twice.
         """
         with self.lock:
-            if entry.worker_id in self.ended_at:
+            if entry.worker_id in self.worker_ended_at:
                 return False
             known = self.workers.get(entry.worker_id)
             if known is not None:
                 if entry != known.entry:
                     known.entry = entry
-                    known.touch()
+                    known.record_change()
                 known.listed = True
                 return False
             worker = workerstate.WorkerState(
                 entry, self.policy.limit_unsent_starts)
             worker.enrolled = all(entry.worker_id in listed
-                                  for listed in self.in_use)
+                                  for listed in self.possible_worker_lists)
             self.workers[entry.worker_id] = worker
             events.emit(events.WORKER_JOINED, worker=entry.worker_id,
                         address=entry.address)
-            self.notify()
+            self.request_round()
             return True
 
-    def unlist(self, listed: set[str], read_at: float) -> None:
+    def update_listed(self, listed: set[str], read_at: float) -> None:
         """Note which workers are no longer listed as of a time."""
         with self.lock:
-            if not 0 <= read_at - self.listed_at <= DRAIN_NOTICE_S:
-                self.saw_drains_since = read_at
-            self.listed_at = read_at
+            if not 0 <= read_at - self.list_read_at <= DRAIN_NOTICE_S:
+                self.drains_visible_since = read_at
+            self.list_read_at = read_at
             for worker_id, worker in self.workers.items():
                 worker.listed = worker_id in listed
-                worker.was_listed |= worker.listed
+                worker.ever_listed |= worker.listed
 
-    def saw_drains(self, since: float, now: float) -> bool:
+    def would_show_drain(self, since: float, now: float) -> bool:
         """Tell whether a drain since a time would be known by now."""
-        return (self.saw_drains_since <= since
-                and now - self.listed_at <= DRAIN_NOTICE_S)
+        return (self.drains_visible_since <= since
+                and now - self.list_read_at <= DRAIN_NOTICE_S)
 
-    def will_store(self, worker_ids: typing.Iterable[str]) -> None:
+    def add_possible_list(self, worker_ids: typing.Iterable[str]) -> None:
         """Note a list of workers in use that may be stored from now on."""
         with self.lock:
-            self.in_use.append(frozenset(worker_ids))
+            self.possible_worker_lists.append(frozenset(worker_ids))
 
     def enrol(self, worker_ids: typing.Iterable[str]) -> None:
         """Let workers be used that are on the list that is now stored.
@@ -242,20 +243,20 @@
         Successors will know to ask them.
         """
         with self.lock:
-            self.in_use = [frozenset(worker_ids)]
-            for worker_id in self.in_use[0]:
+            self.possible_worker_lists = [frozenset(worker_ids)]
+            for worker_id in self.possible_worker_lists[0]:
                 if worker_id in self.workers:
                     self.workers[worker_id].enrolled = True
-            self.notify()
+            self.request_round()
 
-    def expect(self, worker_ids: typing.Iterable[str],
-               until: float) -> None:
+    def await_workers(self, worker_ids: typing.Iterable[str],
+                      until: float) -> None:
         """Wait for workers on the list that an earlier owner stored."""
-        self.unheard = {worker_id: until for worker_id in worker_ids}
-        self.expected = len(self.unheard)
-        self.in_use = [frozenset(self.unheard)]
+        self.awaited_workers = {worker_id: until for worker_id in worker_ids}
+        self.awaited_total = len(self.awaited_workers)
+        self.possible_worker_lists = [frozenset(self.awaited_workers)]
 
-    def obeyed_by_most(self, now: float) -> bool:
+    def has_quorum(self, now: float) -> bool:
         """Tell whether most workers lately took calls under our fence.
 
         Most of the stored list, as a successor counts them: of those that
@@ -264,64 +265,66 @@
         """
         with self.lock:
             fresh = {worker_id for worker_id, worker in self.workers.items()
-                     if now - worker.obeyed_at <= OBEYED_S}
+                     if now - worker.acknowledged_at <= QUORUM_WINDOW_S}
             return all(2 * len(fresh & listed) > len(listed)
-                       for listed in self.in_use)
+                       for listed in self.possible_worker_lists)
 
-    def worker_silent(self, worker_id: str, reason: str,
-                      closed: bool = False) -> None:
+    def mark_unresponsive(self, worker_id: str, reason: str,
+                          connection_closed: bool = False) -> None:
         """Note that a worker did not answer, or closed the connection."""
         with self.lock:
             worker = self.workers.get(worker_id)
             if worker is None:
                 return
-            worker.closed |= closed and worker.entry.draining
-            if worker.silent:
+            worker.connection_closed |= (connection_closed
+                                         and worker.entry.draining)
+            if worker.unresponsive:
                 return
-            worker.silent = True
-            worker.silent_at = clock.now()
+            worker.unresponsive = True
+            worker.unresponsive_since = clock.now()
             events.emit(events.WORKER_SILENT, worker=worker_id,
                         runs=len(worker.reserved), reason=reason)
 
-    def worker_dead(self, worker_id: str, reason: str) -> None:
+    def mark_dead(self, worker_id: str, reason: str) -> None:
         """Note that this incarnation of a worker is certainly over."""
         with self.lock:
-            self.unheard.pop(worker_id, None)
-            self.ended_at[worker_id] = clock.now()
+            self.awaited_workers.pop(worker_id, None)
+            self.worker_ended_at[worker_id] = clock.now()
             worker = self.workers.get(worker_id)
             if worker is not None:
-                self._gone(worker, reason)
-            self.notify()
+                self._remove_worker(worker, reason)
+            self.request_round()
 
-    def was_used(self, worker_id: str) -> bool:
+    def has_listened(self, worker_id: str) -> bool:
         """Tell whether a worker once listened: it reported, or had runs."""
         with self.lock:
             worker = self.workers.get(worker_id)
-            return worker_id in self.unheard or (
-                worker is not None and worker.reported)
+            return worker_id in self.awaited_workers or (
+                worker is not None and worker.has_reported)
 
-    def _gone(self, worker: workerstate.WorkerState, reason: str) -> None:
+    def _remove_worker(self, worker: workerstate.WorkerState,
+                       reason: str) -> None:
         worker_id = worker.entry.worker_id
         now = clock.now()
         events.emit(
             events.WORKER_GONE, worker=worker_id, reason=reason,
             rack=worker.entry.rack(), listed=worker.listed,
             draining=worker.entry.draining, lost=len(worker.reserved),
-            silent_s=(round(now - worker.silent_at, 3) if worker.silent
-                      else 0.0),
+            silent_s=(round(now - worker.unresponsive_since, 3)
+                      if worker.unresponsive else 0.0),
             runs=runlog.lost_rows(((task, run) for (_, run), task
                                    in worker.tasks.items()), now))
         if not worker.entry.draining:
-            self.ended_lately.append(EndedWorker(
+            self.recent_failures.append(FailedWorker(
                 worker.entry.rack(),
-                worker.silent_at if worker.silent else now))
+                worker.unresponsive_since if worker.unresponsive else now))
         self.workers.pop(worker_id, None)
-        self.unheard.pop(worker_id, None)
+        self.awaited_workers.pop(worker_id, None)
         for (_, run), task in worker.tasks.items():
             if task.worker_id == worker_id and task.run == run:
                 task.idle()
         worker.reserved.clear()
-        self.changed = True
+        self.round_needed = True
 
     def expire(self, now: float) -> None:
         """Give up on workers whose leases have certainly ended.
@@ -330,45 +333,49 @@
         leases of what runs on the workers that it reaches.
         """
         with self.lock:
-            alone = now <= self.leased_until
+            lease_held = now <= self.owner_lease_until
             for worker in list(self.workers.values()):
-                if worker.silent and alone and worker.lease_over(now):
-                    self._gone(worker, "lease over")
-                elif worker.silent and worker.closed and not worker.listed:
+                if (worker.unresponsive and lease_held
+                        and worker.leases_expired(now)):
+                    self._remove_worker(worker, "lease over")
+                elif (worker.unresponsive and worker.connection_closed
+                        and not worker.listed):
                     # It announced its leave, closed its connections and
                     # took itself off the list: it has exited.
-                    self._gone(worker, "left as announced")
-                elif (worker.silent and not worker.listed
+                    self._remove_worker(worker, "left as announced")
+                elif (worker.unresponsive and not worker.listed
                         and not worker.reserved
-                        and worker.entry.worker_id not in self.unheard):
-                    self._gone(worker, "neither listed nor answering")
-            for worker_id, at in list(self.ended_at.items()):
-                if now - at > ENTRY_LAPSES_S:
-                    del self.ended_at[worker_id]
-            self.ended_lately = [
-                ended for ended in self.ended_lately
-                if now - ended.at <= ENDS_REMEMBERED_S]
-            self._shorten_waits(now)
-            for worker_id, until in list(self.unheard.items()):
-                if now >= until and alone:
-                    del self.unheard[worker_id]
+                        and (worker.entry.worker_id
+                             not in self.awaited_workers)):
+                    self._remove_worker(worker, "neither listed nor answering")
+            for worker_id, at in list(self.worker_ended_at.items()):
+                if now - at > ENTRY_TTL_S:
+                    del self.worker_ended_at[worker_id]
+            self.recent_failures = [
+                ended for ended in self.recent_failures
+                if now - ended.at <= FAILURE_RETENTION_S]
+            self._shorten_deadlines(now)
+            for worker_id, until in list(self.awaited_workers.items()):
+                if now >= until and lease_held:
+                    del self.awaited_workers[worker_id]
                     events.emit(events.WORKER_GONE, worker=worker_id,
                                 reason="leases of the earlier owner over")
-                    self.changed = True
-            if self.changed:
-                self.notify()
+                    self.round_needed = True
+            if self.round_needed:
+                self.request_round()
 
-    def _shorten_waits(self, now: float) -> None:
+    def _shorten_deadlines(self, now: float) -> None:
         """Wait less for the last workers once most have reported.
 
         An earlier owner without the store gives leases only while most
         workers obey it, and most obey us now.
         """
-        if not self.unheard or 2 * len(self.unheard) >= self.expected:
+        if (not self.awaited_workers
+                or 2 * len(self.awaited_workers) >= self.awaited_total):
             return
-        until = now + OBEYED_S + workerstate.LEASE_OVER_S
-        for worker_id, before in self.unheard.items():
-            self.unheard[worker_id] = min(before, until)
+        until = now + QUORUM_WINDOW_S + workerstate.LEASE_EXPIRY_S
+        for worker_id, before in self.awaited_workers.items():
+            self.awaited_workers[worker_id] = min(before, until)
 
     # Looking up
 
@@ -381,9 +388,9 @@
             return None
         return job, state
 
-    def find_on(self, worker_id: str, task: messages.TaskId
-                ) -> tuple[workerstate.WorkerState,
-                           progress.TaskState] | None:
+    def find_worker_and_task(self, worker_id: str, task: messages.TaskId
+                             ) -> tuple[workerstate.WorkerState,
+                                        progress.TaskState] | None:
         """Return the worker and the task that an order was about."""
         worker = self.workers.get(worker_id)
         found = self.find(task)
@@ -408,7 +415,7 @@
             events.emit(events.INVARIANT_BROKEN, task=str(task.task),
                         rule="one run of a task at a time")
             return
-        if not self.ours_alone(state):
+        if not self.may_start(state):
             events.emit(events.INVARIANT_BROKEN, task=str(task.task),
                         rule="no start of what a successor may have started")
             return
@@ -420,7 +427,7 @@
         task.percent = 0
         task.pace = 100
         worker.reserve((task.task, run), task.step, task)
-        worker.unsent.add((task.task, run))
+        worker.unsent_starts.add((task.task, run))
         if not worker.entry.capacity.holds(worker.used):
             events.emit(events.INVARIANT_BROKEN, task=str(task.task),
                         worker=task.worker_id, rule="room of a worker")
@@ -429,13 +436,14 @@
             task.task, run, state.job.spec, task.saved, ticket))
         if task.step.fills:
             cores = task.step.room.cpu / 1000.0
-            self.learnt.expect(worker.tails, task.step.image, cores)
+            self.interference_model.expect(
+                worker.tail_latencies, task.step.image, cores)
 
-    def _answered(self) -> None:
+    def _advice_arrived(self) -> None:
         with self.lock:
-            self.notify()
+            self.request_round()
 
-    def notify(self) -> None:
+    def request_round(self) -> None:
         """Call for a round of placing; the lock is held."""
-        self.changed = True
-        self.wake.notify_all()
+        self.round_needed = True
+        self.round_requested.notify_all()
--- a/sycamorefield/fleet/trials.py
+++ b/sycamorefield/fleet/trials.py
@@ -139,7 +139,7 @@
                 need = need.plus(task.step.reserved())
                 if not placing.allowed(worker, service, task):
                     return False
-        if not worker.free().holds(need):
+        if not worker.free_capacity().holds(need):
             return False
     return True
 
@@ -172,7 +172,7 @@
         worker = workers.get(worker_id)
         if worker is None:
             return "worker is gone"
-        if not worker.reported:
+        if not worker.has_reported:
             return ""
     runs = {task.run for task, worker_id in trial.members
             if task.worker_id == worker_id}
--- a/sycamorefield/fleet/usage.py
+++ b/sycamorefield/fleet/usage.py
@@ -72,12 +72,12 @@
         return Usage(
             capacity / 1000.0, sum(w.used.cpu for w in workers) / 1000.0,
             sum(w.used.mem_mb for w in workers) / max(1, memory),
-            sum(w.filling_cpu for w in workers) / 1000.0,
-            max((w.free().cpu for w in workers), default=0) / 1000.0,
+            sum(w.best_effort_cpu for w in workers) / 1000.0,
+            max((w.free_capacity().cpu for w in workers), default=0) / 1000.0,
             len(workers),
-            sum(1 for w in fleet.workers.values() if w.silent),
-            len(fleet.unheard), len(fleet.trials.by_worker),
-            sum(w.lasting_cpu for w in workers) / 1000.0,
+            sum(1 for w in fleet.workers.values() if w.unresponsive),
+            len(fleet.awaited_workers), len(fleet.trials.by_worker),
+            sum(w.long_running_cpu for w in workers) / 1000.0,
             kept / 1000.0, ahead / 1000.0, waiting, len(down),
             round(down_s, 3),
             max((t.step.room.cpu for t in down), default=0) / 1000.0)
--- a/tests/test_fleet_crash_days.py
+++ b/tests/test_fleet_crash_days.py
@@ -73,7 +73,8 @@
             victims = [w for w in workers if w.entry.rack() == rack]
         for worker in victims:
             self.machine._end_worker(worker)
-            self.machine.fleet.worker_silent(worker.entry.worker_id, "closed")
+            self.machine.fleet.mark_unresponsive(
+                worker.entry.worker_id, "closed")
         for worker in victims:
             crashes.worker_refuses(self.machine.fleet,
                                    worker.entry.worker_id)
--- a/tests/test_fleet_crashes.py
+++ b/tests/test_fleet_crashes.py
@@ -100,7 +100,7 @@
 def ready(owner: owner_mod.Owner) -> bool:
     """Tell whether an owner can use all workers."""
     return owner.recovered and sum(
-        w.enrolled and w.reported
+        w.enrolled and w.has_reported
         for w in owner.fleet.workers.values()) == WORKERS
 
 
@@ -244,15 +244,15 @@
     moment[0] = bench.now + 0.1
     if end.others_of_rack in ("silent", "ended"):
         for other in set(state.workers) - {worker_id}:
-            state.worker_silent(other, "closed")
+            state.mark_unresponsive(other, "closed")
             if end.others_of_rack == "ended":
                 crashes.worker_refuses(state, other)
     state.add_worker(fleetfakes.entry(
         int(worker_id[2:]), labels=("a", "r"), draining=end.draining))
-    state.worker_silent(worker_id, "closed")
+    state.mark_unresponsive(worker_id, "closed")
     ended = moment[0] + end.silent_s
     for tenths in range(900, int((ended - end.list_age_s) * 10), 5):
-        state.unlist({worker_id} if end.listed else set(), tenths / 10)
+        state.update_listed({worker_id} if end.listed else set(), tenths / 10)
     moment[0] = ended
     if end.reborn:
         crashes.worker_reborn(state, worker_id)
@@ -323,7 +323,7 @@
 @pytest.mark.parametrize("case", [
     Shrunk(4000, 0.0, True), Shrunk(1500, 0.0, False),
     Shrunk(500, 0.0, False), Shrunk(2000, 0.0, True),
-    Shrunk(4000, state_mod.LIST_OLD_S + 0.2, False)])
+    Shrunk(4000, state_mod.MAX_LIST_AGE_S + 0.2, False)])
 def test_a_room_that_shrank_takes_no_more_than_it_holds(case):
     """Guards against starts by a room that a worker no longer has."""
     bench = test_fleet_state.Bench(fleetfakes.entry(0))
@@ -331,11 +331,11 @@
     bench.add(fleetfakes.job("j", one))
     assert bench.place()
     bench.state.add_worker(fleetfakes.entry(0, cpu=case.cpu))
-    bench.state.unlist({"i-0"}, bench.now - case.list_age_s)
+    bench.state.update_listed({"i-0"}, bench.now - case.list_age_s)
     bench.add(fleetfakes.job("k", one), 21)
     assert bool(bench.place()) == case.starts
     bench.state.add_worker(fleetfakes.entry(0))
-    bench.state.unlist({"i-0"}, bench.now)
+    bench.state.update_listed({"i-0"}, bench.now)
     bench.place()
     assert bench.state.jobs["k"].tasks[0, 0][0].phase == progress.RUNNING
 
@@ -347,7 +347,7 @@
     rounds.place(bench.state, bench.now, 0)
     worker_id, order = bench.orders[-1]
     bench.state.add_worker(fleetfakes.entry(0, cpu=500))
-    assert not answers.still_wanted(bench.state, worker_id, order)
+    assert not answers.should_send(bench.state, worker_id, order)
     assert not bench.place()
 
 
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -65,11 +65,11 @@
     lease given. Cause: the end of the last lease moved on with every try.
     """
     link = make_link(bench, fleetfakes.MemoryWorker("i-0"))
-    assert link._until() is not None
-    granted = bench.state.workers["i-0"].granted_ms
-    bench.state.worker_silent("i-0", "refused")
-    assert link._until() is None
-    assert bench.state.workers["i-0"].granted_ms == granted
+    assert link._lease_end_ms() is not None
+    granted = bench.state.workers["i-0"].granted_until_ms
+    bench.state.mark_unresponsive("i-0", "refused")
+    assert link._lease_end_ms() is None
+    assert bench.state.workers["i-0"].granted_until_ms == granted
 
 
 @pytest.mark.parametrize("pause_s", [0.0, 1.0, 6.0])
@@ -87,8 +87,8 @@
         return True
 
     link.may_lease = may_lease
-    assert link._until() <= latest_ms
-    assert bench.state.workers["i-0"].granted_ms <= latest_ms
+    assert link._lease_end_ms() <= latest_ms
+    assert bench.state.workers["i-0"].granted_until_ms <= latest_ms
 
 
 def test_a_start_that_waits_for_the_lock_is_not_sent_after_its_term(bench):
@@ -128,7 +128,7 @@
     rounds.place(bench.state, bench.now, 0)
     order = bench.orders[-1][1]
     link = make_link(bench, LosingWorker(
-        "i-0", lambda: bench.state.worker_silent("i-0", "cut")))
+        "i-0", lambda: bench.state.mark_unresponsive("i-0", "cut")))
     link._send_start(order)
     task = bench.state.jobs["j"].tasks[0, 0][0]
     assert task.phase == progress.STOPPING
@@ -148,12 +148,12 @@
     bench.add(fleetfakes.job("j"))
     bench.place()
     if known_as == "unheard":
-        bench.state.workers["i-0"].reported = False
-        bench.state.expect(["i-0"], bench.now + 100)
+        bench.state.workers["i-0"].has_reported = False
+        bench.state.await_workers(["i-0"], bench.now + 100)
     link = make_link(bench, ExitedWorker("i-0"))
-    link._reports()
+    link._renew_leases()
     assert "i-0" not in bench.state.workers
-    assert not bench.state.unheard
+    assert not bench.state.awaited_workers
     assert bench.state.jobs["j"].tasks[0, 0][0].phase == progress.IDLE
 
 
@@ -163,7 +163,7 @@
     bench.place()
     worker = fleetfakes.MemoryWorker("i-0")
     link = make_link(bench, worker)
-    link._nobody_listens(surroundings.NobodyListens("connection refused"))
+    link._handle_refusal(surroundings.NobodyListens("connection refused"))
     assert "i-0" in bench.state.workers
 
 
@@ -173,9 +173,9 @@
     Symptom would be a worker that joins and goes every second until its
     entry lapses.
     """
-    bench.state.worker_dead("i-0", "nobody listens at its address")
+    bench.state.mark_dead("i-0", "nobody listens at its address")
     assert not bench.state.add_worker(fleetfakes.entry(0))
-    bench.state.expire(clock.now() + state_mod.ENTRY_LAPSES_S + 0.1)
+    bench.state.expire(clock.now() + state_mod.ENTRY_TTL_S + 0.1)
     assert bench.state.add_worker(fleetfakes.entry(0))
 
 
@@ -200,7 +200,7 @@
     again.  Events: a start got no answer; its stop got none either, many
     times.  Cause would be to give up on the stop.
     """
-    monkeypatch.setattr(link_mod, "RETRY_PAUSE_S", 0.0)
+    monkeypatch.setattr(link_mod, "RETRY_DELAY_S", 0.0)
     bench.add(fleetfakes.job("j"))
     bench.place()
     task = bench.state.jobs["j"].tasks[0, 0][0]
@@ -208,7 +208,7 @@
     worker = DeafToStops("i-0", 100)
     link = make_link(bench, worker)
     link.orders.put(bench.orders[-1][1])
-    thread = threading.Thread(target=link._orders)
+    thread = threading.Thread(target=link._send_orders)
     thread.start()
     for _ in range(500):
         if worker.over:
@@ -229,7 +229,7 @@
     link = make_link(bench, worker)
     link.orders.put(bench.orders[-1][1])
     link.orders.put(messages.PaceOrder(task.task, task.run, 50))
-    thread = threading.Thread(target=link._orders)
+    thread = threading.Thread(target=link._send_orders)
     thread.start()
     for _ in range(200):
         if worker.paces:
--- a/tests/test_fleet_machine.py
+++ b/tests/test_fleet_machine.py
@@ -273,7 +273,7 @@
 
     def _renewed(self) -> None:
         self.renewed = self.now
-        self.fleet.leased_until = self.now + owner_mod.OWN_LEASE_S
+        self.fleet.owner_lease_until = self.now + owner_mod.OWN_LEASE_S
 
     def _read_progress(self, state: progress.JobState) -> None:
         item = self.store.items.get(
@@ -283,7 +283,7 @@
         state.state_revision = item.revision
         progress.apply_progress(state, item.value)
         if state.final():
-            self.fleet.drop_final(state)
+            self.fleet.deactivate_job(state)
         else:
             self.fleet.trials.inherit(state, self.now)
 
@@ -294,8 +294,8 @@
             in_use = records.decode_mapping(item.value)
             self.recorder.revisions[records.FLEET_KEY] = item.revision
             self.recorder.addresses = in_use
-        self.fleet.expect(in_use, self.now + recovery.WITHOUT_STORE_S
-                          + workerstate.LEASE_OVER_S)
+        self.fleet.await_workers(in_use, self.now + recovery.WITHOUT_STORE_S
+                                 + workerstate.LEASE_EXPIRY_S)
         self._read_list()
         self.fleet.enrol(in_use)
 
@@ -305,20 +305,20 @@
                    if w.alive or w.entry.worker_id in self.unnoticed]
         for entry in entries:
             self.fleet.add_worker(entry)
-        self.fleet.unlist({e.worker_id for e in entries}, self.now)
+        self.fleet.update_listed({e.worker_id for e in entries}, self.now)
 
     def _send(self, worker_id: str, order: state_mod.Order) -> None:
         self.sent.append(Sent(worker_id, order, self.fleet.fence, 0.0))
 
     def _may_lease(self) -> bool:
         return (self.now - self.renewed <= owner_mod.OWN_LEASE_S
-                or self.fleet.obeyed_by_most(self.now))
+                or self.fleet.has_quorum(self.now))
 
     def _lease(self, worker_id: str) -> float | None:
         state = self.fleet.workers.get(worker_id)
-        if state is None or state.silent or not self._may_lease():
+        if state is None or state.unresponsive or not self._may_lease():
             return None
-        return state.lease_until(workerstate.LEASE_MS, self.now)
+        return state.grant_lease(workerstate.LEASE_MS, self.now)
 
     # What workers check
 
@@ -516,7 +516,7 @@
         for worker in heard if self.acting else ():
             self._report(worker, True)
         for worker in silent if self.acting else ():
-            self.fleet.worker_silent(worker.entry.worker_id, "cut")
+            self.fleet.mark_unresponsive(worker.entry.worker_id, "cut")
         if self.acting:
             self._place()
             self.all_orders_arrive()
@@ -593,7 +593,7 @@
     def _start_arrives(self, sent: Sent, fate: str) -> None:
         order = sent.order
         assert isinstance(order, messages.StartOrder)
-        if not answers.still_wanted(self.fleet, sent.worker_id, order):
+        if not answers.should_send(self.fleet, sent.worker_id, order):
             return
         until = self._lease(sent.worker_id)
         if until is None:
@@ -641,7 +641,7 @@
             self.fleet.add_worker(worker.entry)
         until = self._lease(worker_id)
         if not answered:
-            self.fleet.worker_silent(worker_id, "no answer")
+            self.fleet.mark_unresponsive(worker_id, "no answer")
             return
         if self.fleet.fence < worker.fence:
             self._step_down()
@@ -649,7 +649,7 @@
         worker.fence = self.fleet.fence
         if until is not None:
             worker.lease_end_ms = max(worker.lease_end_ms, until)
-        reports.take(self.fleet, worker_id, messages.WorkerReport(
+        reports.apply_report(self.fleet, worker_id, messages.WorkerReport(
             self.now * 1000.0,
             tuple(messages.RunningTask(task, run, "", 10)
                   for task, run in worker.runs), tuple(worker.ended)),
@@ -675,7 +675,7 @@
             self._forget_ends(commit.marks)
 
     def _next_commit(self) -> Commit:
-        marks = {worker_id: known.processed
+        marks = {worker_id: known.last_processed_end
                  for worker_id, known in self.fleet.workers.items()}
         values = self.recorder._job_values()
         self.recorder._fleet_value(values)
@@ -741,7 +741,7 @@
     @stateful.rule()
     def crashes_are_noticed(self) -> None:
         for worker_id in list(self.unnoticed):
-            self.fleet.worker_silent(worker_id, "closed")
+            self.fleet.mark_unresponsive(worker_id, "closed")
             crashes.worker_refuses(self.fleet, worker_id)
             del self.unnoticed[worker_id]
 
--- a/tests/test_fleet_orders.py
+++ b/tests/test_fleet_orders.py
@@ -47,16 +47,16 @@
     bench = roomy_bench(workers)
     bench.add(fleetfakes.job("j", NARROW))
     rounds.place(bench.state, bench.now, 0)
-    assert len(starts(bench)) == workers * workerstate.UNSENT_STARTS
+    assert len(starts(bench)) == workers * workerstate.MAX_UNSENT_STARTS
     rounds.place(bench.state, bench.now, 0)
-    assert len(starts(bench)) == workers * workerstate.UNSENT_STARTS
+    assert len(starts(bench)) == workers * workerstate.MAX_UNSENT_STARTS
     first = starts(bench)[0]
     worker_id = bench.orders[0][0]
-    bench.state.changed = False
-    assert answers.still_wanted(bench.state, worker_id, first)
-    assert bench.state.changed
+    bench.state.round_needed = False
+    assert answers.should_send(bench.state, worker_id, first)
+    assert bench.state.round_needed
     rounds.place(bench.state, bench.now, 0)
-    assert len(starts(bench)) == workers * workerstate.UNSENT_STARTS + 1
+    assert len(starts(bench)) == workers * workerstate.MAX_UNSENT_STARTS + 1
 
 
 def test_nothing_gives_way_where_room_waits_for_orders_to_be_sent():
@@ -100,7 +100,7 @@
     bench.add(fleetfakes.job("j"))
     rounds.place(bench.state, bench.now, 0)
     bench.state.cancel("j")
-    thread = threading.Thread(target=link._orders)
+    thread = threading.Thread(target=link._send_orders)
     thread.start()
     time.sleep(0.2)
     link.close()
@@ -119,13 +119,13 @@
     bench = roomy_bench()
     bench.add(fleetfakes.job("j"))
     rounds.place(bench.state, bench.now, 0)
-    assert bench.state.waiting() == {"checks": 1}
+    assert bench.state.count_waiting_jobs() == {"checks": 1}
     worker_id, order = bench.orders[-1]
     answers.started(bench.state, worker_id, order,
                     bench.now * 1000.0, bench.now)
-    assert bench.state.waiting() == {}
+    assert bench.state.count_waiting_jobs() == {}
     bench.end(worker_id, "j.0.0.0", 1, "lapsed")
-    assert bench.state.waiting() == {}
+    assert bench.state.count_waiting_jobs() == {}
 
 
 class CountingLock:
--- a/tests/test_fleet_review.py
+++ b/tests/test_fleet_review.py
@@ -25,7 +25,7 @@
 def hold_back(bench: test_fleet_state.Bench) -> None:
     """Give the roomiest worker all the starts that may wait to be sent."""
     bench.add(fleetfakes.job("first", messages.Step(
-        workerstate.UNSENT_STARTS, messages.Room(100, 10))))
+        workerstate.MAX_UNSENT_STARTS, messages.Room(100, 10))))
     rounds.place(bench.state, bench.now, 0)
 
 
@@ -93,9 +93,9 @@
     # Where the patient runs are: two on i-1 and one on i-0.
     assert len(bench.state.workers["i-1"].tasks) == 2
     bench.add(fleetfakes.job("first", messages.Step(
-        workerstate.UNSENT_STARTS, messages.Room(100, 10))), 12)
+        workerstate.MAX_UNSENT_STARTS, messages.Room(100, 10))), 12)
     rounds.place(bench.state, bench.now, 0)
-    assert not bench.state.workers["i-0"].takes_starts()
+    assert not bench.state.workers["i-0"].accepts_starts()
     bench.add(fleetfakes.job("urgent", messages.Step(
         urgent, messages.Room(1000, 10))), 21)
     rounds.place(bench.state, bench.now, 0)
@@ -145,8 +145,8 @@
     worker_id, order = bench.orders[-1]
     assert order.run == 2
     if fate == "taken back":
-        bench.state.worker_silent(worker_id, "no answer")
-        assert not answers.still_wanted(bench.state, worker_id, order)
+        bench.state.mark_unresponsive(worker_id, "no answer")
+        assert not answers.should_send(bench.state, worker_id, order)
     else:
         answers.rejected(bench.state, worker_id, order, fate, bench.now)
     state = bench.state.jobs["lasting"]
@@ -244,11 +244,11 @@
                if t.phase == progress.RUNNING]
     for task in running[:2]:
         bench.state.stop_run(task, "cancelled")
-    kept = bench.state.workers["i-0"].free().cpu
+    kept = bench.state.workers["i-0"].free_capacity().cpu
     bench.place()
     bench.place()
-    assert (bench.state.workers["i-0"].free().cpu == kept
-            or bench.state.workers["i-1"].free().cpu >= 1000)
+    assert (bench.state.workers["i-0"].free_capacity().cpu == kept
+            or bench.state.workers["i-1"].free_capacity().cpu >= 1000)
 
 
 @pytest.mark.parametrize("held_up_s", [0.8, 1.6])
@@ -300,13 +300,13 @@
         store, bench.state, "owner", lambda: True, lambda reason: None,
         lambda marks: None)
     counts = []
-    waiting = bench.state.waiting
+    count_waiting_jobs = bench.state.count_waiting_jobs
 
     def counted():
         counts.append(1)
-        return waiting()
+        return count_waiting_jobs()
 
-    monkeypatch.setattr(bench.state, "waiting", counted)
+    monkeypatch.setattr(bench.state, "count_waiting_jobs", counted)
     now = [1000.0]
     monkeypatch.setattr(recorder_mod.time, "monotonic", lambda: now[0])
     for _ in range(50):
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -38,7 +38,7 @@
         self.state.add_job(job, created)
 
     def report(self, worker_id: str, running=(), ended=()) -> None:
-        reports.take(self.state, worker_id, messages.WorkerReport(
+        reports.apply_report(self.state, worker_id, messages.WorkerReport(
             self.now * 1000.0, tuple(running), tuple(ended)),
             self.now, self.now)
 
@@ -193,8 +193,8 @@
     bench.add(fleetfakes.job("j"))
     (placed,) = bench.place()
     holder = placed.split("@")[1]
-    bench.state.workers[holder].lease_until(5000.0, bench.now)
-    bench.state.worker_silent(holder, "cut")
+    bench.state.workers[holder].grant_lease(5000.0, bench.now)
+    bench.state.mark_unresponsive(holder, "cut")
     bench.now += 4.9
     bench.state.expire(bench.now)
     assert not bench.place()
@@ -204,25 +204,25 @@
     assert again.split("@")[1] != holder
 
 
-@pytest.mark.parametrize("unheard", [False, True])
-def test_only_an_owner_whose_lease_holds_counts_leases_as_over(unheard):
+@pytest.mark.parametrize("awaited", [False, True])
+def test_only_an_owner_whose_lease_holds_counts_leases_as_over(awaited):
     """A successor may have renewed those of a worker that is silent here."""
     bench = Bench(fleetfakes.entry(0), fleetfakes.entry(1))
-    if unheard:
-        bench.state.expect(["i-9"], bench.now + 6.0)
-    bench.add(fleetfakes.job("j"), created=5 if unheard else 20)
+    if awaited:
+        bench.state.await_workers(["i-9"], bench.now + 6.0)
+    bench.add(fleetfakes.job("j"), created=5 if awaited else 20)
     placed = bench.place()
-    assert len(placed) == (not unheard)
+    assert len(placed) == (not awaited)
     for name in placed:
         holder = name.split("@")[1]
-        bench.state.workers[holder].lease_until(5000.0, bench.now)
-        bench.state.worker_silent(holder, "cut")
+        bench.state.workers[holder].grant_lease(5000.0, bench.now)
+        bench.state.mark_unresponsive(holder, "cut")
     bench.state.jobs["j"].known_at = bench.now
-    bench.state.leased_until = bench.now + 2.0
+    bench.state.owner_lease_until = bench.now + 2.0
     bench.now += 7.0
     bench.state.expire(bench.now)
     assert not bench.place()
-    bench.state.leased_until = bench.now + 2.0
+    bench.state.owner_lease_until = bench.now + 2.0
     bench.state.expire(bench.now)
     assert len(bench.place()) == 1
 
@@ -257,7 +257,7 @@
 
 def test_old_jobs_wait_for_unheard_workers_and_new_ones_do_not():
     bench = Bench(fleetfakes.entry(0))
-    bench.state.unheard["i-9"] = bench.now + 10.0
+    bench.state.awaited_workers["i-9"] = bench.now + 10.0
     bench.add(fleetfakes.job("old"), created=5)
     bench.add(fleetfakes.job("new"), created=11)
     assert bench.place() == ["new.0.0.0@i-0"]
@@ -279,11 +279,12 @@
     (placed,) = bench.place()
     holder = placed.split("@")[1]
     bench.state.add_worker(fleetfakes.entry(int(holder[2:]), draining=True))
-    bench.state.workers[holder].lease_until(5000.0, bench.now)
-    bench.state.worker_silent(holder, "closed", closed=True)
+    bench.state.workers[holder].grant_lease(5000.0, bench.now)
+    bench.state.mark_unresponsive(
+        holder, "closed", connection_connection_closed=True)
     bench.state.expire(bench.now)
     assert not bench.place()
-    bench.state.unlist({"i-0", "i-1"} - {holder}, bench.now)
+    bench.state.update_listed({"i-0", "i-1"} - {holder}, bench.now)
     bench.state.expire(bench.now)
     (again,) = bench.place()
     assert again.split("@")[1] != holder
@@ -292,19 +293,19 @@
 def test_a_worker_is_heard_when_a_report_lists_all_of_its_ends():
     """The end of a task may be among those that a full list leaves out."""
     bench = Bench(fleetfakes.entry(0))
-    bench.state.expect(["i-9"], bench.now + 14.0)
+    bench.state.await_workers(["i-9"], bench.now + 14.0)
     bench.state.add_worker(fleetfakes.entry(9))
     bench.add(fleetfakes.job("j"), created=5)
     bench.report("i-9", ended=[
         messages.EndedTask(number, messages.TaskId("k", 0, 0, number), 1,
                            messages.DONE, "")
-        for number in range(1, reports.ENDS_PER_REPORT + 1)])
+        for number in range(1, reports.MAX_ENDS_PER_REPORT + 1)])
     assert not bench.place()
     bench.report("i-9", ended=[messages.EndedTask(
-        reports.ENDS_PER_REPORT + 1, messages.TaskId("j", 0, 0, 0), 1,
+        reports.MAX_ENDS_PER_REPORT + 1, messages.TaskId("j", 0, 0, 0), 1,
         messages.DONE, "")])
     assert not bench.place()
-    assert not bench.state.unheard
+    assert not bench.state.awaited_workers
     assert bench.state.jobs["j"].state == messages.COMPLETED
 
 
@@ -312,14 +313,14 @@
 def test_the_last_workers_are_waited_for_less_once_most_reported(heard,
                                                                  waits_s):
     bench = Bench(*(fleetfakes.entry(n) for n in range(heard)))
-    bench.state.expect([f"i-{n}" for n in range(5)], bench.now + 14.0)
+    bench.state.await_workers([f"i-{n}" for n in range(5)], bench.now + 14.0)
     for n in range(heard):
         bench.report(f"i-{n}")
     bench.state.expire(bench.now)
     bench.state.expire(bench.now + waits_s - 1.0)
-    assert bench.state.unheard
+    assert bench.state.awaited_workers
     bench.state.expire(bench.now + waits_s + 1.0)
-    assert not bench.state.unheard
+    assert not bench.state.awaited_workers
 
 
 @pytest.mark.parametrize(("answering", "lease"), [(3, True), (1, False)])
@@ -328,7 +329,7 @@
     bench.now += 5.0
     for n in range(answering):
         bench.report(f"i-{n}")
-    assert bench.state.obeyed_by_most(bench.now) is lease
+    assert bench.state.has_quorum(bench.now) is lease
 
 
 @pytest.mark.parametrize("reached", [1, 2, 3])
@@ -337,22 +338,23 @@
     entries = [fleetfakes.entry(n) for n in range(4)]
     earlier, later = Bench(*entries), Bench()
     start = earlier.now
-    later.state.expect([e.worker_id for e in entries],
-                       start + owner_mod.OWN_LEASE_S
-                       + recovery.WITHOUT_STORE_S + workerstate.LEASE_OVER_S)
-    granted_ms = 0.0
-    while later.state.unheard:
+    later.state.await_workers([e.worker_id for e in entries],
+                              start + owner_mod.OWN_LEASE_S
+                              + recovery.WITHOUT_STORE_S
+                              + workerstate.LEASE_EXPIRY_S)
+    granted_until_ms = 0.0
+    while later.state.awaited_workers:
         earlier.now += 0.25
         later.now = earlier.now
         silence_s = earlier.now - start
         for n, entry in enumerate(entries):
             if n >= reached:
-                earlier.state.worker_silent(entry.worker_id, "cut")
+                earlier.state.mark_unresponsive(entry.worker_id, "cut")
             elif silence_s <= recovery.WITHOUT_STORE_S:
                 if (silence_s <= owner_mod.OWN_LEASE_S
-                        or earlier.state.obeyed_by_most(earlier.now)):
-                    granted_ms = earlier.state.workers[
-                        entry.worker_id].lease_until(
+                        or earlier.state.has_quorum(earlier.now)):
+                    granted_until_ms = earlier.state.workers[
+                        entry.worker_id].grant_lease(
                             workerstate.LEASE_MS, earlier.now)
                 earlier.report(entry.worker_id)
             if n >= reached and silence_s > owner_mod.OWN_LEASE_S:
@@ -360,7 +362,7 @@
                 later.report(entry.worker_id)
         earlier.state.expire(earlier.now)
         later.state.expire(later.now)
-    assert later.now * 1000.0 > granted_ms
+    assert later.now * 1000.0 > granted_until_ms
 
 
 @pytest.mark.parametrize("step", [
@@ -457,7 +459,7 @@
     bench.state.add_worker(new)
     bench.report("i-9")
     bench.state.enrol(["i-9"])
-    bench.state.worker_silent("i-0", "cut")
+    bench.state.mark_unresponsive("i-0", "cut")
     bench.add(fleetfakes.job("j", messages.Step(3, ROOM, requires="r0")))
     assert bench.place() == [f"j.0.0.{n}@i-9" for n in range(3)]
     for _ in range(3):
@@ -482,7 +484,7 @@
     bench.report(entries[1].worker_id)
     bench.state.enrol([entries[1].worker_id])
     assert not bench.place()
-    bench.state.worker_dead(first, "reborn")
+    bench.state.mark_dead(first, "reborn")
     assert bench.place() == [f"j.0.0.0@{entries[1].worker_id}"]
 
 
--- a/tests/test_fleet_takeover.py
+++ b/tests/test_fleet_takeover.py
@@ -162,7 +162,7 @@
     wait_for(lambda: "b.0.0.0" in fleet.running())
     assert fleet.starts().count("a.0.0.0") == 1
     holder.mute = False
-    wait_for(lambda: not fleet.owner.fleet.unheard)
+    wait_for(lambda: not fleet.owner.fleet.awaited_workers)
     assert fleet.starts().count("a.0.0.0") == 1
 
 
@@ -310,7 +310,7 @@
     fleet = Fleet()
     old = fleet.take_over()
     wait_for(lambda: old.recovered and all(
-        w.enrolled and w.reported for w in old.fleet.workers.values())
+        w.enrolled and w.has_reported for w in old.fleet.workers.values())
         and len(old.fleet.workers) == 2)
     old.lease_renewed(clock.now() - doubt.renewed_s_ago)
     fleet.submit(fleetfakes.job("a"))
@@ -340,7 +340,7 @@
         fleetfakes.configuration)
     entry = fleetfakes.entry(0)
     state.add_worker(entry)
-    state.leased_until = clock.now() - 1.0
+    state.owner_lease_until = clock.now() - 1.0
     job = state.add_job(fleetfakes.job("a"), 6)
     job.occurrence(0)
     task = job.tasks[0, 0][0]
@@ -362,8 +362,8 @@
     assert owner.recorder.flush()
     away = owner.fleet.workers["i-0"]
     assert away.enrolled
-    away.heard(0.0, clock.now())
-    owner.fleet.worker_silent("i-0", "no answer")
+    away.sync_clock(0.0, clock.now())
+    owner.fleet.mark_unresponsive("i-0", "no answer")
     owner.fleet.expire(clock.now() + 1.0)
     commit = fleet.store.commit
     enrolled = []
@@ -456,5 +456,5 @@
     assert fleet.starts().count("a.0.0.0") == 1
     assert fleet.owner.fence > first.fence
     holder.mute = False
-    wait_for(lambda: not fleet.owner.fleet.unheard)
+    wait_for(lambda: not fleet.owner.fleet.awaited_workers)
     assert fleet.starts().count("a.0.0.0") == 1
--- a/tests/test_fleet_terms.py
+++ b/tests/test_fleet_terms.py
@@ -30,17 +30,17 @@
     bench = test_fleet_state.Bench()
     bench.state.add_worker(fleetfakes.entry(0))
     bench.state.enrol(["i-0"])
-    bench.state.expect(["i-0"], bench.now + 10.0)
+    bench.state.await_workers(["i-0"], bench.now + 10.0)
     bench.add(fleetfakes.job("old", messages.Step(
-        reports.ENDS_PER_REPORT + 1, messages.Room(1, 1))), created=5)
+        reports.MAX_ENDS_PER_REPORT + 1, messages.Room(1, 1))), created=5)
     ends = [messages.EndedTask(n + 1, messages.TaskId("old", 0, 0, n), 1,
                                messages.DONE, "")
-            for n in range(reports.ENDS_PER_REPORT + 1)]
-    bench.report("i-0", ended=ends[:reports.ENDS_PER_REPORT])
+            for n in range(reports.MAX_ENDS_PER_REPORT + 1)]
+    bench.report("i-0", ended=ends[:reports.MAX_ENDS_PER_REPORT])
     assert not bench.place()
-    bench.report("i-0", ended=ends[reports.ENDS_PER_REPORT:])
+    bench.report("i-0", ended=ends[reports.MAX_ENDS_PER_REPORT:])
     assert not bench.place()
-    assert not bench.state.unheard
+    assert not bench.state.awaited_workers
 
 
 @pytest.fixture(name="fleet")
@@ -219,7 +219,7 @@
 
         def listed_still():
             owner.roster.take_entries(fleet.entries)
-            wait_for(lambda: owner.fleet.workers["i-0"].reported)
+            wait_for(lambda: owner.fleet.workers["i-0"].has_reported)
 
         store.meanwhile = listed_still
         assert owner.recorder.flush()
--- a/tests/test_fleet_usage.py
+++ b/tests/test_fleet_usage.py
@@ -50,7 +50,7 @@
     running = [messages.RunningTask(task, run, "", 0)
                for task, run in fleet.workers[worker_id].tasks
                if (task, run) not in over]
-    return reports.take(fleet, worker_id, messages.WorkerReport(
+    return reports.apply_report(fleet, worker_id, messages.WorkerReport(
         1000.0, tuple(running), tuple(ended)), 100.0, 100.0)
 
 
@@ -103,9 +103,9 @@
     ids=["all-answer", "one-silent", "unheard"])
 def test_usage_counts_workers_that_do_not_answer(silent, unheard, told):
     fleet = make_fleet(3)
-    fleet.expect(unheard, 1e9)
+    fleet.await_workers(unheard, 1e9)
     for worker_id in silent:
-        fleet.worker_silent(worker_id, "no answer")
+        fleet.mark_unresponsive(worker_id, "no answer")
     found = usage.measure(fleet, 100.0)
     assert (found.workers, found.workers_silent,
             found.workers_unheard) == told
@@ -166,8 +166,8 @@
     while fleet.run_log.ordered_total < count:
         # A worker gets further starts when those before have been sent.
         rounds.place(fleet, 100.0, 1e12)
-        for run in list(fleet.workers["i-0"].unsent):
-            fleet.workers["i-0"].start_sent(run)
+        for run in list(fleet.workers["i-0"].unsent_starts):
+            fleet.workers["i-0"].mark_start_sent(run)
     assert not lines
     fleet.run_log.flush()
     assert [event for event, _ in lines] == [events.RUN_ORDERED] * len(sizes)
--- a/tests/test_fleet_workload.py
+++ b/tests/test_fleet_workload.py
@@ -41,13 +41,13 @@
     took 53 ms of a whole core, and every report of a worker called for one.
     """
     looks = []
-    free = workerstate.WorkerState.free
+    free_capacity = workerstate.WorkerState.free_capacity
 
     def counted(worker):
         looks.append(worker)
-        return free(worker)
+        return free_capacity(worker)
 
-    monkeypatch.setattr(workerstate.WorkerState, "free", counted)
+    monkeypatch.setattr(workerstate.WorkerState, "free_capacity", counted)
     costs = []
     for jobs in (few, many):
         bench = full_fleet(jobs)
@@ -78,4 +78,4 @@
     else:
         bench.report(worker_id, [], [messages.EndedTask(
             1, name, 1, "lapsed", "")])
-    assert bench.state.changed is wakes
+    assert bench.state.round_needed is wakes
