--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -281,7 +281,7 @@
     bench.state.add_worker(fleetfakes.entry(int(holder[2:]), draining=True))
     bench.state.workers[holder].grant_lease(5000.0, bench.now)
     bench.state.mark_unresponsive(
-        holder, "closed", connection_connection_closed=True)
+        holder, "closed", connection_closed=True)
     bench.state.expire(bench.now)
     assert not bench.place()
     bench.state.update_listed({"i-0", "i-1"} - {holder}, bench.now)
--- a/tests/test_fleet_terms.py
+++ b/tests/test_fleet_terms.py
@@ -169,7 +169,7 @@
     link = link_mod.WorkerLink(
         fleetfakes.entry(0), fleetfakes.MemoryWorker("i-0"), bench.state,
         lambda: True, may_lease, lambda reason: None)
-    until = link._until()
+    until = link._lease_end_ms()
     assert until is not None
     assert until <= allowed_at[0] * 1000.0 + workerstate.LEASE_MS + 100.0
 
@@ -215,7 +215,8 @@
         wait_for(lambda: all(w.usable(clock.now())
                              for w in owner.fleet.workers.values()))
         with owner.fleet.lock:
-            owner.fleet._gone(owner.fleet.workers["i-0"], "lease over")
+            owner.fleet._remove_worker(
+                owner.fleet.workers["i-0"], "lease over")
 
         def listed_still():
             owner.roster.take_entries(fleet.entries)
@@ -270,8 +271,8 @@
 
         fleet.store.meanwhile = comes_back
         with fleet.owner.fleet.lock:
-            fleet.owner.fleet._gone(fleet.owner.fleet.workers["i-0"],
-                                    "lease over")
+            fleet.owner.fleet._remove_worker(fleet.owner.fleet.workers["i-0"],
+                                             "lease over")
             fleet.store.removed = "i-0"
         wait_for(lambda: fleet.store.refuse)
         fleet.owner.step_down("killed")
