--- a/sycamorefield/fleet/state.py
+++ b/sycamorefield/fleet/state.py
@@ -24,7 +24,7 @@
 from sycamorefield.fleet import workerstate
 
 Order = messages.StartOrder | messages.StopOrder | messages.PaceOrder
-Send = typing.Callable[[str, Order], None]
+SendOrder = typing.Callable[[str, Order], None]
 
 # An owner without the store gives leases only while most workers took a
 # call of its within this time: a successor would have fenced them by then.
@@ -51,7 +51,7 @@
 class FleetState:
     """Hold jobs and workers, and order runs to start and stop."""
 
-    def __init__(self, fence: int, hold_max_ms: float, send: Send,
+    def __init__(self, fence: int, hold_max_ms: float, send: SendOrder,
                  configuration: typing.Callable[[], messages.Configuration],
                  policy: policy_mod.Policy = policy_mod.Policy()) -> None:
         self.policy = policy
--- a/sycamorefield/fleet/workerstate.py
+++ b/sycamorefield/fleet/workerstate.py
@@ -6,7 +6,7 @@
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import progress
 
-Run = tuple[messages.TaskId, int]
+RunId = tuple[messages.TaskId, int]
 
 # A worker's clock may be this much slow; waiting for a lease to end on it
 # counts our own time as shorter by the same share.
@@ -57,13 +57,13 @@
         self.reported_at = 0.0
         # When the last call that it answered was sent.
         self.acknowledged_at = 0.0
-        self.reserved: dict[Run, messages.Room] = {}
+        self.reserved: dict[RunId, messages.Room] = {}
         self.used = messages.Room()
         self.free_capacity_key = (messages.Room(), messages.Room())
         self.cached_free_capacity = messages.Room()
-        self.tasks: dict[Run, progress.TaskState] = {}
+        self.tasks: dict[RunId, progress.TaskState] = {}
         # Runs whose start waits to be sent.
-        self.unsent_starts: set[Run] = set()
+        self.unsent_starts: set[RunId] = set()
         self.limits_unsent_starts = limits_unsent_starts
         self.target_runs = 0
         # Runs that may give way to urgent ones: neither filling nor lasting.
@@ -88,9 +88,9 @@
         # Whether new runs could be ordered here in the last round.
         self.was_usable = False
         # Runs whose start was turned away by an address without a listener.
-        self.refused_starts: set[Run] = set()
+        self.refused_starts: set[RunId] = set()
         # Runs that were told to stop.
-        self.stopping: set[Run] = set()
+        self.stopping: set[RunId] = set()
         # Whether the last report showed a run that makes little progress.
         self.has_stalled_run = False
 
@@ -123,7 +123,7 @@
                  + (now - self.clock_read_at) * 1000.0 * MIN_CLOCK_RATE)
         return least > self.granted_until_ms + LEASE_END_SLACK_MS
 
-    def reserve(self, run: Run, step: messages.Step,
+    def reserve(self, run: RunId, step: messages.Step,
                 task: progress.TaskState | None) -> None:
         """Count a run's room as taken until it is released."""
         if run in self.reserved:
@@ -143,7 +143,7 @@
         if task is not None:
             self.tasks[run] = task
 
-    def release(self, run: Run, step: messages.Step) -> None:
+    def release(self, run: RunId, step: messages.Step) -> None:
         """Give a run's room back."""
         self.record_change()
         self.unsent_starts.discard(run)
@@ -168,7 +168,7 @@
         return (len(self.unsent_starts) < MAX_UNSENT_STARTS
                 or not self.limits_unsent_starts)
 
-    def mark_start_sent(self, run: Run) -> bool:
+    def mark_start_sent(self, run: RunId) -> bool:
         """Note that a start waits no more; tell if others may follow now."""
         held_back = not self.accepts_starts()
         self.unsent_starts.discard(run)
