--- a/sycamorefield/fleet/__init__.py
+++ b/sycamorefield/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Schedule jobs of many tasks on the workers of a fleet."""
+"""Schedule multi-task jobs on the workers of a fleet."""
--- a/sycamorefield/fleet/answers.py
+++ b/sycamorefield/fleet/answers.py
@@ -1,4 +1,4 @@
-"""Take in what became of the orders sent to workers."""
+"""Apply the outcomes of orders sent to workers."""
 
 from sycamorefield import events
 from sycamorefield.fleet import messages
@@ -6,16 +6,17 @@
 from sycamorefield.fleet import state as state_mod
 from sycamorefield.fleet import surroundings
 
-# A worker that turned a start away gets none for this long.
+# How long a worker that rejected a start gets no other, in seconds, by the
+# reason it gave.
 UNHEALTHY_PAUSE_S = 2.0
 NO_CAPACITY_PAUSE_S = 0.5
 
 
 def should_send(fleet: state_mod.FleetState, worker_id: str,
                 order: messages.StartOrder) -> bool:
-    """Tell whether a start that waited to be sent should still go.
+    """Return whether a queued start order should still be sent.
 
-    If not, it is taken back: it was never sent.
+    If not, the run is released at once, since it was never sent.
     """
     with fleet.lock:
         found = fleet.find(order.task)
@@ -25,7 +26,7 @@
         job, task = found
         if worker.mark_start_sent((order.task, order.run)):
             fleet.request_round()
-        # The worker's room may have shrunk while the start waited.
+        # The worker's capacity may have shrunk while the order was queued.
         if (fleet.is_current(worker, task, order.run)
                 and task.phase == progress.STARTING
                 and not job.final() and not worker.unresponsive
@@ -41,7 +42,7 @@
 
 def started(fleet: state_mod.FleetState, worker_id: str,
             order: messages.StartOrder, clock_ms: float, now: float) -> None:
-    """Note that a worker carried out a start."""
+    """Record that a worker carried out a start order."""
     with fleet.lock:
         found = fleet.find_worker_and_task(worker_id, order.task)
         if found is None:
@@ -60,7 +61,7 @@
 
 def rejected(fleet: state_mod.FleetState, worker_id: str,
              order: messages.StartOrder, reason: str, now: float) -> None:
-    """Note that a worker did not carry out a start."""
+    """Record that a start order was rejected or could not be sent."""
     events.emit(events.RUN_REJECTED, task=str(order.task),
                 run=order.run, worker=worker_id, reason=reason)
     with fleet.lock:
@@ -87,7 +88,11 @@
 
 def uncertain(fleet: state_mod.FleetState, worker_id: str,
               order: messages.StartOrder, refused: bool = False) -> None:
-    """Stop a run whose start got no answer, before it runs elsewhere."""
+    """Stop a run whose start got no response, as it may have begun.
+
+    Its task runs elsewhere only after the stop is acknowledged.  If each
+    attempt was refused for lack of a listener, the run cannot have begun.
+    """
     with fleet.lock:
         found = fleet.find_worker_and_task(worker_id, order.task)
         if found is None:
@@ -101,7 +106,7 @@
 
 def stopped(fleet: state_mod.FleetState, worker_id: str,
             order: messages.StopOrder, now: float) -> None:
-    """Note that a worker has taken a stop: the run cannot begin now."""
+    """Record that a worker accepted a stop: the run cannot begin any more."""
     with fleet.lock:
         found = fleet.find_worker_and_task(worker_id, order.task)
         if found is not None and fleet.is_current(*found, order.run):
--- a/sycamorefield/fleet/link.py
+++ b/sycamorefield/fleet/link.py
@@ -1,4 +1,8 @@
-"""Follow one worker: one task renews its lease, one sends its orders."""
+"""Manage the calls to one worker.
+
+One thread renews the worker's lease and receives its reports; another one
+sends orders.
+"""
 
 import itertools
 import queue
@@ -17,24 +21,27 @@
 from sycamorefield.fleet import workerstate
 from sycamorefield import metrics
 
-# How long a worker holds its report while nothing ends.  It bounds how long
-# a dead worker goes unnoticed.
+# How long a worker may delay its report while no run ends.  It bounds the time
+# for which the failure of a worker goes unnoticed.
 REPORT_WAIT_MS = 1200
-# Tails are watched more closely where tasks that fill run beside tasks that
-# serve, and most where one is near its target; the figures are half a second
-# old anyway.
+# Reports are requested more often where best-effort tasks share a worker with
+# tasks that have a latency target, and most often where a tail latency exceeds
+# NEAR_TARGET_RATIO of its target.  Shorter waits gain little, as the reported
+# tail latencies are half a second old anyway.
 SHARED_WAIT_MS = 800
 NEAR_TARGET_WAIT_MS = 400
 NEAR_TARGET_RATIO = 0.4
-# The end of a trial shows in a report, and others wait for the worker.
+# The end of a quarantine run is learned from a report, and until then no other
+# task may use the worker.
 QUARANTINE_WAIT_MS = 150
 RETRY_DELAY_S = 0.15
-# A report repeats ends until they are recorded; asking again before that
-# would be answered at once.
+# A report lists ended runs until their ends are stored, and is sent without
+# delay while there are any.  So the next one is requested only when they are
+# stored, or after this many seconds.
 RECORD_WAIT_S = 0.4
 START_ATTEMPTS = 2
-# An address that refuses this many connections in a row, 0.15 s apart, has
-# no process any more.
+# After this many refused connections in a row, RETRY_DELAY_S apart, no process
+# is left at a worker's address.
 REFUSALS_UNTIL_DEAD = 2
 NO_LEASE = "no lease may be given"
 
@@ -42,10 +49,11 @@
 
 
 class OrderQueue:
-    """Hold orders until they are sent: stops first, others as they came.
+    """Queue orders to one worker: stops first, others first in, first out.
 
-    A stop behind starts that wait lets a cancelled task run on meanwhile; a
-    start whose run was stopped before it was sent is then not sent at all.
+    A cancelled task would keep running while its stop is queued behind
+    starts.  A start whose run is stopped while the start is queued is never
+    sent.
     """
 
     def __init__(self) -> None:
@@ -54,21 +62,25 @@
         self.sequence = itertools.count()
 
     def put(self, order: state_mod.Order | None) -> None:
-        """Add an order; None ends the queue at once."""
+        """Add an order; None makes the sender end before other orders."""
         urgent = order is None or isinstance(order, messages.StopOrder)
         self.entries.put((not urgent, next(self.sequence), order))
 
     def requeue(self, order: state_mod.Order) -> None:
-        """Add an order that failed behind all that wait."""
+        """Add an order whose call failed behind all queued ones."""
         self.entries.put((True, next(self.sequence), order))
 
     def get(self) -> state_mod.Order | None:
-        """Wait for the next order."""
+        """Wait for the next order and return it."""
         return self.entries.get()[2]
 
 
 class WorkerLink:
-    """Hold the two tasks that speak to one worker."""
+    """Run the two threads that call one worker.
+
+    may_act and may_lease return whether this process may still send orders
+    and grant leases; step_down gives up ownership, with a reason.
+    """
 
     def __init__(self, entry: messages.WorkerEntry,
                  worker: surroundings.Worker, fleet: state_mod.FleetState,
@@ -87,16 +99,16 @@
         self.orders = OrderQueue()
 
     def start(self) -> None:
-        """Begin both tasks."""
+        """Start both threads."""
         for target in (self._renew_leases, self._send_orders):
             threading.Thread(target=self._run_guarded, args=(target,),
                              daemon=True).start()
 
     def _run_guarded(self, target: typing.Callable[[], None]) -> None:
-        """Hand the fleet over on an unexpected error.
+        """Run a thread's function; step down on an unexpected error.
 
-        A worker without one of its tasks would keep its place, but its
-        leases would run out or its starts would wait for ever.
+        A worker without one of its threads would still be considered usable,
+        but its leases would expire or its start orders never be sent.
         """
         try:
             target()
@@ -106,27 +118,27 @@
             self.step_down("unexpected error")
 
     def close(self) -> None:
-        """End both tasks after the calls under way."""
+        """End both threads after their current calls."""
         self.closed = True
         self.orders.put(None)
         self.recorded.set()
 
     def acknowledge_ends(self, number: int) -> None:
-        """Let the worker forget ends up to a number: they are stored."""
+        """Let the worker forget ends up to a number, as they are stored."""
         if number > self.recorded_upto:
             self.recorded_upto = number
             self.recorded.set()
 
     def _lease_end_ms(self) -> float | None:
-        """Return the end of a lease given now, or None to give none.
+        """Return the end of a lease granted now, or None to grant none.
 
-        A silent worker is only asked: a call without an answer may still be
-        carried out, and with a lease in each try its tasks could never be
-        counted as over.
+        An unresponsive worker is queried without a lease: a call without a
+        response may still be carried out, and if each attempt granted a
+        lease, the runs there could never be considered ended.
 
-        The lease counts from before the check that it may be given.  If the
-        VM is frozen or waits for the lock in between, the lease gets shorter
-        instead of outlasting what a successor waits for it.
+        The lease starts before the check that it may be granted.  If the VM
+        is frozen or waits for the lock after the check, the lease becomes
+        shorter instead of lasting longer than a successor waits for it.
         """
         now = clock.now()
         if not self.may_lease():
@@ -189,10 +201,10 @@
                 self.recorded.wait(RECORD_WAIT_S)
 
     def _handle_refusal(self, exc: surroundings.NobodyListens) -> bool:
-        """Note a refused connection; tell if the worker has ended.
+        """Handle a refused connection; return whether the worker has ended.
 
-        Its tasks then run elsewhere within half a second instead of when its
-        leases are over, some seconds later.
+        If so, its tasks run elsewhere within half a second instead of some
+        seconds later, when its leases have expired.
         """
         self.refusals += 1
         if (self.refusals >= REFUSALS_UNTIL_DEAD
@@ -203,7 +215,10 @@
         return False
 
     def _check_fenced(self, exc: surroundings.OrderRejected) -> bool:
-        """Step down if a rejection shows that there is a successor."""
+        """Step down if a rejection shows that there is a successor.
+
+        Return whether it does.
+        """
         if exc.reason != surroundings.FENCED:
             return False
         self.step_down(f"fenced by worker {self.worker_id}")
@@ -248,7 +263,7 @@
                                  clock.now())
                 return
             if until is None:
-                # The first try may still be carried out.
+                # The first attempt may still be carried out.
                 break
             try:
                 clock_ms = self.worker.start(order, self.fleet.fence, until)
@@ -269,18 +284,18 @@
     def _rejected(self, order: messages.StartOrder, reason: str,
                   attempt: int) -> None:
         if attempt:
-            # The first try may have been carried out and have ended since,
-            # or may still be; only a stop settles it.
+            # The run of the first attempt may have ended already, or may yet
+            # begin; only an acknowledged stop rules that out.
             answers.uncertain(self.fleet, self.worker_id, order)
             return
         answers.rejected(self.fleet, self.worker_id,
                          order, reason, clock.now())
 
     def _send_stop(self, order: messages.StopOrder) -> None:
-        """Send a stop; without an answer put it behind what else waits.
+        """Send a stop; requeue it behind other orders if it fails.
 
-        Until it is answered the run may still begin, so giving up would
-        keep its task from ever running again.
+        Until the worker acknowledges it, the run may still begin and its task
+        cannot run elsewhere, so a stop is never given up.
         """
         if not self.may_act():
             return
@@ -303,8 +318,8 @@
         except surroundings.OrderRejected as exc:
             self._check_fenced(exc)
         except surroundings.CallFailed:
-            # The next report shows whether the tail came down; the pace is
-            # sent again with the next change.
+            # The next report shows whether the tail latency fell; the pace is
+            # sent again with its next change.
             events.emit(events.RUN_UNCERTAIN, task=str(order.task),
                         run=order.run, worker=self.worker_id,
                         reason="pace got no answer")
--- a/sycamorefield/fleet/reports.py
+++ b/sycamorefield/fleet/reports.py
@@ -1,4 +1,4 @@
-"""Take in what a worker reports of its runs."""
+"""Apply workers' reports of running and ended tasks to the fleet state."""
 
 from sycamorefield import events
 from sycamorefield.fleet import demand
@@ -9,20 +9,25 @@
 from sycamorefield.fleet import state as state_mod
 from sycamorefield.fleet import workerstate
 
-# A task that keeps failing at once is not restarted faster than this.
+# Minimum delay before a failed long-running task is restarted, so that one
+# that fails at once is not restarted in a tight loop.
 RESTART_DELAY_S = 0.2
-# A worker forgets and lists at most this many ends in one report.
+# Maximum number of ended runs in one report; the worker lists others later.
 MAX_ENDS_PER_REPORT = 500
-# An unexpected run is told to stop again when it is still there after this.
+# An unexpected run that is still reported after this long is ordered to stop
+# again.
 STOP_RETRY_S = 1.0
-# Marks a filling run of the previous owner, whose share is not known.
+# Pace of a best-effort run that a previous owner started: it is not known.
 UNKNOWN_PACE = -1
 
 
 def apply_report(fleet: state_mod.FleetState, worker_id: str,
                  report: messages.WorkerReport, sent_at: float,
                  now: float) -> bool:
-    """Take in a report; tell if it holds ends not seen before."""
+    """Apply a report; return whether it contains new ends of runs.
+
+    The report was requested at sent_at and received now.
+    """
     with fleet.lock:
         worker = fleet.workers.get(worker_id)
         if worker is None:
@@ -30,15 +35,15 @@
         worker.sync_clock(report.clock_ms, now)
         worker.reported_at = now
         worker.acknowledged_at = max(worker.acknowledged_at, sent_at)
-        # Without news nothing waits for a round: figures alone, a few
-        # hundred reports a second, change no more than the next tick
-        # takes in, and a round for each left no time for anything else.
+        # A report with measurements alone does not trigger a placement round:
+        # the next periodic round takes them in.  With a few hundred reports
+        # per second, a round for each would leave no time for anything else.
         needs_round = worker.unresponsive or not worker.has_reported
         if worker.unresponsive:
             events.emit(events.WORKER_REGAINED, worker=worker_id)
             worker.unresponsive = worker.connection_closed = False
         if not worker.has_reported:
-            # The earlier owner may have given leases up to the longest.
+            # A previous owner may have granted leases of maximum length.
             worker.granted_until_ms = max(
                 worker.granted_until_ms, report.clock_ms + min(
                     workerstate.LEASE_MS, fleet.hold_max_ms))
@@ -51,7 +56,7 @@
         for row in report.running:
             _process_running(fleet, worker, row, now)
         if len(report.ended) < MAX_ENDS_PER_REPORT:
-            # A full list may leave out ends of tasks that seem to wait.
+            # A full list may omit ends of tasks that seem not to have started.
             needs_round |= _release_missing(fleet, worker, report, sent_at)
             worker.has_reported = True
             fleet.awaited_workers.pop(worker_id, None)
@@ -102,8 +107,8 @@
         task.earlier_s = now - started_at
     if demand.is_short(task.step) and started_at:
         fleet.demand.add_run(job.job.queue, now - started_at)
-    place = (task.task.occurrence, task.task.step)
-    members = job.tasks[place] if task.step.gang else [task]
+    step_index = (task.task.occurrence, task.task.step)
+    members = job.tasks[step_index] if task.step.gang else [task]
     for member in members:
         member.finish()
         if member is task and member.phase in (progress.STARTING,
@@ -146,12 +151,12 @@
             task.stuck = True
             _mark_stuck(fleet, worker, task, now)
         if task.phase == progress.STARTING:
-            # Its answer comes later, or not at all.
+            # The response to the start order comes later or was lost.
             task.phase = progress.RUNNING
             task.moved_at = task.started = now
         return
     if job.final() or task.done:
-        _stop_unexpected(fleet, worker, row, "already over", now, task)
+        _stop_unexpected(fleet, worker, row, "already ended", now, task)
     elif task.phase == progress.IDLE:
         _adopt(worker, job, task, row, now)
     else:
@@ -160,7 +165,7 @@
 
 def _mark_stuck(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
                 task: progress.TaskState, now: float) -> None:
-    """Avoid a worker on which several tasks make no progress."""
+    """Avoid a worker for a stuck task, and for all if several are stuck."""
     task.avoid.add(worker.entry.worker_id)
     stuck = sum(1 for other in worker.tasks.values() if other.stuck)
     if stuck >= slowness.STUCK_TASKS and worker.avoid_until <= now:
@@ -200,16 +205,17 @@
 def _release_missing(fleet: state_mod.FleetState,
                      worker: workerstate.WorkerState,
                      report: messages.WorkerReport, sent_at: float) -> bool:
-    """Free runs that neither run nor ended; tell if there were any.
+    """Release runs that a report lists neither as running nor as ended.
 
-    An order without an answer may never have arrived.  It counts as
-    confirmed once its stop was answered; a report asked for after that
-    and without the run shows that it never ran.
+    Return whether there were any.  A start order without a response may
+    never have arrived.  Its run is released only by a report that was
+    requested after the worker had acknowledged the run's start or stop:
+    without the run, such a report shows that it does not run.
     """
-    present = {(row.task, row.run) for row in report.running}
-    freed = False
+    running = {(row.task, row.run) for row in report.running}
+    released = False
     for run, task in list(worker.tasks.items()):
-        if run in present:
+        if run in running:
             continue
         if fleet.is_current(worker, task, run[1]):
             if (task.phase == progress.STARTING
@@ -219,5 +225,5 @@
             events.emit(events.RUN_VANISHED, task=str(run[0]),
                         run=run[1], worker=worker.entry.worker_id)
         worker.release(run, task.step)
-        freed = True
-    return freed
+        released = True
+    return released
--- a/sycamorefield/fleet/state.py
+++ b/sycamorefield/fleet/state.py
@@ -1,8 +1,10 @@
-"""Hold one fleet of workers: its jobs, and what runs where.
+"""Hold the state of one fleet: its jobs, its workers and the current runs.
 
-Nothing here waits or calls out: orders leave through a callback.  What comes
-in changes it through reports.py and answers.py, and rounds.py places tasks;
-all of these, and the methods without a note on it, take the lock themselves.
+Nothing here blocks on I/O: orders are handed to a callback.  Worker reports
+and responses to orders are applied by reports.py and answers.py, and tasks
+are placed by rounds.py.  These modules acquire the lock themselves, and so
+do the methods below that use it; callers of the other methods hold it or run
+before other threads start.
 """
 
 import math
@@ -26,30 +28,32 @@
 Order = messages.StartOrder | messages.StopOrder | messages.PaceOrder
 SendOrder = typing.Callable[[str, Order], None]
 
-# An owner without the store gives leases only while most workers took a
-# call of its within this time: a successor would have fenced them by then.
+# An owner that cannot reach the store grants leases only while a majority of
+# workers accepted a call from it within this period, in seconds: otherwise a
+# successor may already have fenced them.
 QUORUM_WINDOW_S = 1.5
-# An entry goes after three heartbeats of about 1.1 s without one and a lag of
-# 0.8 s; until then the list names a worker that is known to have ended.
+# A worker's entry expires after three missed heartbeats, about 1.1 s apart,
+# plus a lag of 0.8 s.  Until then the worker list may still contain a worker
+# that is known to have ended.
 ENTRY_TTL_S = 5.0
-# The room that a worker says it has counts as soon as 3 s after it shrank;
-# with an older list nothing more is started.
+# A reduced capacity of a worker is binding 3 s after it shrank.  No task is
+# started by a worker list that is older than this, in seconds.
 MAX_LIST_AGE_S = 2.8
-# A worker that leaves is listed as draining for at least this long before.
+# A worker is listed as draining for at least this long before it leaves.
 DRAIN_NOTICE_S = 2.0
-# How long ends of workers are remembered to tell failures of racks.
+# How long failures of workers are kept to detect failures of whole racks.
 FAILURE_RETENTION_S = 5.0
 
 
 class FailedWorker(typing.NamedTuple):
-    """Hold the rack of a worker that ended without notice, and when."""
+    """Rack and time of failure of a worker that ended without draining."""
 
     rack: str
     at: float
 
 
 class FleetState:
-    """Hold jobs and workers, and order runs to start and stop."""
+    """Track jobs and workers, and issue orders to start and stop runs."""
 
     def __init__(self, fence: int, hold_max_ms: float, send: SendOrder,
                  configuration: typing.Callable[[], messages.Configuration],
@@ -64,26 +68,26 @@
         self.jobs: dict[str, progress.JobState] = {}
         self.active: dict[str, progress.JobState] = {}
         self.workers: dict[str, workerstate.WorkerState] = {}
-        # Workers that an earlier owner used and that have not reported yet,
-        # with the time from which nothing can run there any more.
+        # Workers that a previous owner used and that have not reported to
+        # this one yet, with the time at which their leases have expired.
         self.awaited_workers: dict[str, float] = {}
         self.awaited_total = 0
-        # Each list of workers in use that a successor may find stored: more
-        # than one while it isn't known which of them is.
+        # The lists of workers in use that a successor may read from the
+        # store: several while the outcome of a write is unknown.
         self.possible_worker_lists: list[frozenset[str]] = [frozenset()]
-        # When workers that may still be listed were known to have ended.
+        # When workers that may still be listed were found to have ended.
         self.worker_ended_at: dict[str, float] = {}
-        # Workers that ended without having announced it.
+        # Workers that ended without draining first.
         self.recent_failures: list[FailedWorker] = []
-        # When the list of workers was read last, and since when it has been
-        # read often enough to show each drain.
+        # When the worker list was last read, and since when it has been read
+        # often enough not to miss a draining worker.
         self.list_read_at = math.inf
         self.drains_visible_since = -math.inf
         self.trials = trials.Trials()
-        # Whether the store has not answered for longer than the owner's
-        # lease: a successor may exist.
+        # Whether the store has been unreachable for longer than the owner's
+        # lease, so that a successor may exist.
         self.store_unreachable = False
-        # Until when the owner's lease certainly holds, on clock.now().
+        # Until when this owner certainly holds its lease, by clock.now().
         self.owner_lease_until = math.inf
         self.interference_model = interference.Interference(
             policy.learn_weights, policy.limit_tails, policy.follow_slopes)
@@ -93,10 +97,11 @@
         self.run_log = runlog.RunLog()
         self.advice = advice.AdviceBook(None)
         self.advice.answered = self._advice_arrived
-        # What found no room, and what found no runs to stop for room.
+        # Requests that fitted on no worker, and requests for which no runs
+        # could be preempted.
         self.placement_misses = shortage.Misses()
         self.preemption_misses = shortage.Misses()
-        # The version of the configuration that the last round went by.
+        # The version of the configuration used in the last round.
         self.placed_config_version = 0
         self.round_needed = False
         self.commit_requested = False
@@ -104,7 +109,7 @@
     # Jobs
 
     def add_job(self, job: messages.Job, created: int) -> progress.JobState:
-        """Take up a stored job; again for the same job changes nothing."""
+        """Add a stored job; do nothing if it is already known."""
         with self.lock:
             state = self.jobs.get(job.job_id)
             if state is not None:
@@ -119,24 +124,25 @@
             return state
 
     def may_start(self, state: progress.JobState) -> bool:
-        """Tell whether no successor can have started tasks of a job.
-
-        What goes wrong without: an owner whose lease ended unnoticed still
-        sees new jobs in the store.  Its successor starts those that are
-        newer than its own claim without asking all workers first, so both
-        start them, and a task runs twice.  A job known while the lease held
-        is older than any successor's claim, and a successor holds such jobs
-        back until each worker in use has reported or its leases are over.
+        """Return whether no successor can have started tasks of a job.
+
+        An owner that has not noticed the end of its lease still sees new
+        jobs in the store.  Its successor starts jobs created after its own
+        claim without querying all workers first, so without this check both
+        would start them and a task would run twice.  A job that was known
+        while the lease was held is older than any successor's claim, and a
+        successor holds such jobs back until each worker in use has reported
+        or its leases have expired.
         """
         return (state.created <= self.fence
                 or state.known_at <= self.owner_lease_until)
 
     def deactivate_job(self, state: progress.JobState) -> None:
-        """Stop planning for a job whose stored state is final."""
+        """Stop scheduling a job whose stored state is final."""
         self.active.pop(state.job.job_id, None)
 
     def cancel(self, job_id: str) -> None:
-        """Cancel a job unless it has ended; stop what runs of it."""
+        """Cancel a job unless it has ended, and stop its runs."""
         with self.lock:
             state = self.jobs.get(job_id)
             if state is None or state.cancelled or state.final():
@@ -146,7 +152,7 @@
             self.request_round()
 
     def update_job_state(self, state: progress.JobState) -> None:
-        """End a job if its tasks say so, and stop what runs of it."""
+        """End a job and stop its runs if the states of its tasks say so."""
         if not state.settle():
             return
         events.emit(events.JOB_ENDED, job=state.job.job_id,
@@ -159,7 +165,10 @@
                 self.stop_run(task, "job " + state.state)
 
     def stop_run(self, task: progress.TaskState, reason: str) -> None:
-        """Order the current run of a task to stop."""
+        """Order the current run of a task to stop.
+
+        The run keeps its reserved resources until a report shows its end.
+        """
         events.emit(events.RUN_STOPPED, task=str(task.task), run=task.run,
                     worker=task.worker_id, reason=reason)
         task.phase = progress.STOPPING
@@ -169,7 +178,10 @@
         self.send(task.worker_id, messages.StopOrder(task.task, task.run))
 
     def count_waiting_jobs(self) -> dict[str, int]:
-        """Return how many jobs of each queue no task has started of."""
+        """Return per queue the number of jobs without any started task.
+
+        Jobs with a scheduled start are not counted.
+        """
         counts: dict[str, int] = {}
         with self.lock:
             for state in self.active.values():
@@ -180,9 +192,10 @@
 
     @staticmethod
     def _has_begun(state: progress.JobState) -> bool:
-        """Tell whether a worker has begun a task, as far as is known.
+        """Return whether a worker is known to have begun a task of a job.
 
-        An order may wait to be sent, or get no answer.
+        An order alone is no proof: it may still wait to be sent, or get no
+        response.
         """
         return any(t.done or t.begun or t.failed_runs or t.saved
                    for t in state.all_tasks())
@@ -190,12 +203,13 @@
     # Workers
 
     def add_worker(self, entry: messages.WorkerEntry) -> bool:
-        """Take up a worker or its new entry; tell if it is a new one.
+        """Add a worker or update its entry; return whether it is new.
 
-        Of two entries at one address either may be the old one, which stays
-        listed for some seconds after its worker was born again.  Only the
-        address can tell: it answers calls for the other incarnation as such.
-        Taken for gone by mistake, a worker's runs would be started twice.
+        If two entries have the same address, either may be stale: the old
+        entry stays listed for some seconds after the worker has restarted.
+        Only a call to the address shows which incarnation is running, since
+        a worker rejects calls meant for another incarnation.  Runs of a
+        worker that was removed by mistake would be started a second time.
         """
         with self.lock:
             if entry.worker_id in self.worker_ended_at:
@@ -218,7 +232,7 @@
             return True
 
     def update_listed(self, listed: set[str], read_at: float) -> None:
-        """Note which workers are no longer listed as of a time."""
+        """Update which workers are listed, by a list read at a time."""
         with self.lock:
             if not 0 <= read_at - self.list_read_at <= DRAIN_NOTICE_S:
                 self.drains_visible_since = read_at
@@ -228,19 +242,22 @@
                 worker.ever_listed |= worker.listed
 
     def would_show_drain(self, since: float, now: float) -> bool:
-        """Tell whether a drain since a time would be known by now."""
+        """Return whether a worker that drained since a time would be known.
+
+        The list must have been read without long pauses from then until now.
+        """
         return (self.drains_visible_since <= since
                 and now - self.list_read_at <= DRAIN_NOTICE_S)
 
     def add_possible_list(self, worker_ids: typing.Iterable[str]) -> None:
-        """Note a list of workers in use that may be stored from now on."""
+        """Add a list of workers in use whose write has been started."""
         with self.lock:
             self.possible_worker_lists.append(frozenset(worker_ids))
 
     def enrol(self, worker_ids: typing.Iterable[str]) -> None:
-        """Let workers be used that are on the list that is now stored.
+        """Allow the use of the workers on the list that is now stored.
 
-        Successors will know to ask them.
+        A successor reads this list and queries each worker on it.
         """
         with self.lock:
             self.possible_worker_lists = [frozenset(worker_ids)]
@@ -251,27 +268,32 @@
 
     def await_workers(self, worker_ids: typing.Iterable[str],
                       until: float) -> None:
-        """Wait for workers on the list that an earlier owner stored."""
+        """Wait for reports of the workers that a previous owner stored.
+
+        Their leases have expired by the given time.
+        """
         self.awaited_workers = {worker_id: until for worker_id in worker_ids}
         self.awaited_total = len(self.awaited_workers)
         self.possible_worker_lists = [frozenset(self.awaited_workers)]
 
     def has_quorum(self, now: float) -> bool:
-        """Tell whether most workers lately took calls under our fence.
+        """Return whether most workers recently accepted calls of this owner.
 
-        Most of the stored list, as a successor counts them: of those that
-        this owner still knows a minority that is cut off with it would be
-        all, once it has given up the others.
+        The majority is that of the stored list, as a successor counts it.
+        Counting only the workers that this owner still knows would be wrong:
+        a minority partitioned off with it would become the whole fleet once
+        it has removed the others.
         """
         with self.lock:
-            fresh = {worker_id for worker_id, worker in self.workers.items()
-                     if now - worker.acknowledged_at <= QUORUM_WINDOW_S}
-            return all(2 * len(fresh & listed) > len(listed)
+            accepting = {
+                worker_id for worker_id, worker in self.workers.items()
+                if now - worker.acknowledged_at <= QUORUM_WINDOW_S}
+            return all(2 * len(accepting & listed) > len(listed)
                        for listed in self.possible_worker_lists)
 
     def mark_unresponsive(self, worker_id: str, reason: str,
                           connection_closed: bool = False) -> None:
-        """Note that a worker did not answer, or closed the connection."""
+        """Record that a worker did not respond or closed the connection."""
         with self.lock:
             worker = self.workers.get(worker_id)
             if worker is None:
@@ -286,7 +308,7 @@
                         runs=len(worker.reserved), reason=reason)
 
     def mark_dead(self, worker_id: str, reason: str) -> None:
-        """Note that this incarnation of a worker is certainly over."""
+        """Remove a worker whose incarnation has certainly ended."""
         with self.lock:
             self.awaited_workers.pop(worker_id, None)
             self.worker_ended_at[worker_id] = clock.now()
@@ -296,7 +318,10 @@
             self.request_round()
 
     def has_listened(self, worker_id: str) -> bool:
-        """Tell whether a worker once listened: it reported, or had runs."""
+        """Return whether a worker has ever listened at its address.
+
+        It has if it reported to this owner or was used by a previous one.
+        """
         with self.lock:
             worker = self.workers.get(worker_id)
             return worker_id in self.awaited_workers or (
@@ -327,10 +352,11 @@
         self.round_needed = True
 
     def expire(self, now: float) -> None:
-        """Give up on workers whose leases have certainly ended.
+        """Remove workers that have left or whose leases have expired.
 
-        Only while the owner's own lease holds: a successor would renew the
-        leases of what runs on the workers that it reaches.
+        Leases count as expired only while this owner holds its own lease: a
+        successor may have renewed the leases of runs on workers that it can
+        reach.
         """
         with self.lock:
             lease_held = now <= self.owner_lease_until
@@ -340,8 +366,8 @@
                     self._remove_worker(worker, "lease over")
                 elif (worker.unresponsive and worker.connection_closed
                         and not worker.listed):
-                    # It announced its leave, closed its connections and
-                    # took itself off the list: it has exited.
+                    # It was draining, closed its connections and removed
+                    # its entry from the worker list: it has exited.
                     self._remove_worker(worker, "left as announced")
                 elif (worker.unresponsive and not worker.listed
                         and not worker.reserved
@@ -352,32 +378,32 @@
                 if now - at > ENTRY_TTL_S:
                     del self.worker_ended_at[worker_id]
             self.recent_failures = [
-                ended for ended in self.recent_failures
-                if now - ended.at <= FAILURE_RETENTION_S]
+                failure for failure in self.recent_failures
+                if now - failure.at <= FAILURE_RETENTION_S]
             self._shorten_deadlines(now)
             for worker_id, until in list(self.awaited_workers.items()):
                 if now >= until and lease_held:
                     del self.awaited_workers[worker_id]
                     events.emit(events.WORKER_GONE, worker=worker_id,
-                                reason="leases of the earlier owner over")
+                                reason="leases of previous owner expired")
                     self.round_needed = True
             if self.round_needed:
                 self.request_round()
 
     def _shorten_deadlines(self, now: float) -> None:
-        """Wait less for the last workers once most have reported.
+        """Wait less for the remaining workers once most have reported.
 
-        An earlier owner without the store gives leases only while most
-        workers obey it, and most obey us now.
+        A previous owner that cannot reach the store grants leases only while
+        most workers accept its calls, and most now accept this owner's.
         """
         if (not self.awaited_workers
                 or 2 * len(self.awaited_workers) >= self.awaited_total):
             return
-        until = now + QUORUM_WINDOW_S + workerstate.LEASE_EXPIRY_S
-        for worker_id, before in self.awaited_workers.items():
-            self.awaited_workers[worker_id] = min(before, until)
+        latest = now + QUORUM_WINDOW_S + workerstate.LEASE_EXPIRY_S
+        for worker_id, deadline in self.awaited_workers.items():
+            self.awaited_workers[worker_id] = min(deadline, latest)
 
-    # Looking up
+    # Lookups
 
     def find(self, task: messages.TaskId
              ) -> tuple[progress.JobState, progress.TaskState] | None:
@@ -391,7 +417,7 @@
     def find_worker_and_task(self, worker_id: str, task: messages.TaskId
                              ) -> tuple[workerstate.WorkerState,
                                         progress.TaskState] | None:
-        """Return the worker and the task that an order was about."""
+        """Return the worker and the task of an order, or None if unknown."""
         worker = self.workers.get(worker_id)
         found = self.find(task)
         if worker is None or found is None:
@@ -401,23 +427,27 @@
     @staticmethod
     def is_current(worker: workerstate.WorkerState,
                    task: progress.TaskState, run: int) -> bool:
-        """Tell whether a run on a worker is the one its task counts on."""
+        """Return whether a run on a worker is its task's current run."""
         return (task.phase != progress.IDLE and task.run == run
                 and task.worker_id == worker.entry.worker_id)
 
-    # Orders to start
+    # Starting runs
 
     def start(self, state: progress.JobState, task: progress.TaskState,
               worker: workerstate.WorkerState, run: int,
               ticket: str = "") -> None:
-        """Order a run of a task on a worker."""
+        """Order a worker to start a run of a task.
+
+        Do nothing but log an error if the task already has a run or if a
+        successor may have started it.
+        """
         if task.phase != progress.IDLE or task.done or state.final():
             events.emit(events.INVARIANT_BROKEN, task=str(task.task),
                         rule="one run of a task at a time")
             return
         if not self.may_start(state):
             events.emit(events.INVARIANT_BROKEN, task=str(task.task),
-                        rule="no start of what a successor may have started")
+                        rule="no start of tasks a successor may have started")
             return
         task.phase = progress.STARTING
         task.run = task.last_run = run
@@ -430,7 +460,7 @@
         worker.unsent_starts.add((task.task, run))
         if not worker.entry.capacity.holds(worker.used):
             events.emit(events.INVARIANT_BROKEN, task=str(task.task),
-                        worker=task.worker_id, rule="room of a worker")
+                        worker=task.worker_id, rule="capacity of a worker")
         self.run_log.add_ordered(task.task, run, task.worker_id)
         self.send(task.worker_id, messages.StartOrder(
             task.task, run, state.job.spec, task.saved, ticket))
@@ -444,6 +474,6 @@
             self.request_round()
 
     def request_round(self) -> None:
-        """Call for a round of placing; the lock is held."""
+        """Request a placement round."""
         self.round_needed = True
         self.round_requested.notify_all()
--- a/sycamorefield/fleet/workerstate.py
+++ b/sycamorefield/fleet/workerstate.py
@@ -1,4 +1,4 @@
-"""Hold what the owner knows of one worker and the room left on it."""
+"""Track one worker: its runs, its free capacity and its lease."""
 
 import itertools
 
@@ -8,124 +8,146 @@
 
 RunId = tuple[messages.TaskId, int]
 
-# A worker's clock may be this much slow; waiting for a lease to end on it
-# counts our own time as shorter by the same share.
+# Lowest rate of a worker's clock relative to the owner's.  A lease ends by the
+# worker's clock, so the owner scales its own time by this rate to wait for it.
 MIN_CLOCK_RATE = 0.98
-# The longest lease that any owner gives to what runs.  A successor takes
-# about 1 s to take over from an owner that stopped and 2.5 s from one that
-# died; what runs must outlive that.  Longer, and the tasks of a worker that
-# went dark would wait longer for their next run.
+# Longest lease that an owner grants to the runs of a worker.  Runs must
+# outlive a change of owner: a successor takes over about 1 s after a planned
+# stop and 2.5 s after a crash.  With a longer lease, tasks of an unresponsive
+# worker would wait longer for their next run.
 LEASE_MS = 5000.0
-# Slack for the rounding of clocks and for the kill itself.
+# Margin for clock rounding and for the time that a worker takes to kill runs.
 LEASE_END_SLACK_MS = 300.0
-# Seconds of our clock after which a lease given now has certainly ended.
+# Seconds by the owner's clock after which a lease granted now has certainly
+# expired.
 LEASE_EXPIRY_S = (LEASE_MS + LEASE_END_SLACK_MS) / 1000.0 / MIN_CLOCK_RATE
 
-# At most so many starts wait to be sent to a worker, one after the other and
-# some 5 ms each.  Without a limit an owner that sends slowly goes on placing:
-# a task then holds room for seconds before it begins, which makes the fleet
-# look full and more tasks wait.  One sees runs end long after they could
-# have, one a round and worker: short tasks of 0.6 s held their room for 8 s.
+# Maximum number of start orders queued for one worker.  They are sent one at a
+# time, in about 5 ms each.  Without a limit an owner that sends slowly would
+# keep placing tasks that reserve resources for seconds before they begin, so
+# that the fleet looks full and more tasks wait.  Symptom: each worker reports
+# about one ended run per round, and tasks of 0.6 s hold their resources for
+# 8 s.
 MAX_UNSENT_STARTS = 8
 
-# A worker that failed this many runs in a row without a success is avoided
-# for a while: one that fails all it starts would else eat every attempt.
+# A worker that failed this many runs in a row gets no new runs for AVOID_S
+# seconds.  Otherwise a worker on which every run fails, and which therefore
+# always has free capacity, would use up the attempts of many tasks.
 MAX_CONSECUTIVE_FAILURES = 3
 AVOID_S = 3.0
 
-# Numbers changes of workers in the order in which they happen.
+# Numbers the changes of all workers in the order in which they happen.
 CHANGE_NUMBERS = itertools.count(1)
 
 
 class WorkerState:
-    """Account for the room of one worker and its lease."""
+    """Track the reserved resources, the runs and the lease of one worker.
+
+    Times are seconds by the owner's clock; names with `_ms` are milliseconds
+    by the worker's clock.  CPU is counted in thousandths of a core.
+    """
 
     def __init__(self, entry: messages.WorkerEntry,
                  limits_unsent_starts: bool = True) -> None:
         self.entry = entry
         self.listed = True
-        # Whether it was on a list that this owner has read.
+        # Whether it was on any worker list that this owner has read.
         self.ever_listed = False
+        # Whether it is on the stored list of workers in use.
         self.enrolled = False
         self.has_reported = False
         self.unresponsive = False
-        # Since when it does not answer, if it is silent.
+        # Since when it has been unresponsive, if it is.
         self.unresponsive_since = 0.0
-        # Whether it closed a connection while it was about to leave.
+        # Whether it closed a connection while it was draining.
         self.connection_closed = False
-        # When its last report came.
+        # When its last report arrived.
         self.reported_at = 0.0
-        # When the last call that it answered was sent.
+        # When the last call that it accepted was sent.
         self.acknowledged_at = 0.0
         self.reserved: dict[RunId, messages.Room] = {}
         self.used = messages.Room()
+        # The capacity and use for which the free capacity was computed.
         self.free_capacity_key = (messages.Room(), messages.Room())
         self.cached_free_capacity = messages.Room()
         self.tasks: dict[RunId, progress.TaskState] = {}
-        # Runs whose start waits to be sent.
+        # Runs whose start order is queued and has not been sent.
         self.unsent_starts: set[RunId] = set()
         self.limits_unsent_starts = limits_unsent_starts
+        # Number of runs with a target for their tail latency.
         self.target_runs = 0
-        # Runs that may give way to urgent ones: neither filling nor lasting.
+        # Number of runs that more urgent ones may preempt: neither
+        # best-effort nor long-running.
         self.preemptible_runs = 0
+        # CPU requested by best-effort runs, and reserved by long-running ones.
         self.best_effort_cpu = 0
-        # Processors that lasting tasks reserve.
         self.long_running_cpu = 0
         self.tail_latencies: list[interference.Tail] = []
-        # Reserved processors that serving tasks leave unused, thousandths.
+        # CPU that runs with a latency target reserve but do not use.
         self.unused_cpu = 0.0
+        # Consecutive reports with a tail latency above its target.
         self.over_reports = 0
+        # When best-effort runs here were last allowed a higher pace.
         self.pace_raised_at = 0.0
         self.avoid_until = 0.0
+        # Consecutive failed runs.
         self.failures = 0
+        # The worker's clock, and when it was read.
         self.clock_ms = 0.0
         self.clock_read_at = 0.0
+        # The latest end of any lease granted here.
         self.granted_until_ms = 0.0
+        # The number of the last end of a run that was taken from a report.
         self.last_processed_end = 0
-        # The number of the last change that may let a run fit here that did
-        # not fit before.
+        # The number of the last change after which a run may fit here that
+        # did not fit before.
         self.change_number = next(CHANGE_NUMBERS)
-        # Whether new runs could be ordered here in the last round.
+        # Whether new runs could be placed here in the last round.
         self.was_usable = False
-        # Runs whose start was turned away by an address without a listener.
+        # Runs of which each attempt to send the start was refused because
+        # nothing listens at the worker's address.
         self.refused_starts: set[RunId] = set()
-        # Runs that were told to stop.
+        # Runs that have been ordered to stop.
         self.stopping: set[RunId] = set()
-        # Whether the last report showed a run that makes little progress.
+        # Whether the last report showed a run whose pace is so low that it
+        # makes little progress.
         self.has_stalled_run = False
 
     def record_change(self) -> None:
-        """Note a change after which runs may fit that did not before."""
+        """Record a change after which runs may fit that did not before."""
         self.change_number = next(CHANGE_NUMBERS)
 
     def sync_clock(self, clock_ms: float, at: float) -> None:
-        """Note the worker's clock, read at a moment of ours."""
+        """Record the worker's clock, read at a time by the owner's clock.
+
+        Older readings than the last one are ignored.
+        """
         if clock_ms >= self.clock_ms:
             self.clock_ms = clock_ms
             self.clock_read_at = at
 
     def grant_lease(self, lease_ms: float, now: float) -> float | None:
-        """Return when a lease given now ends, or None before any report.
+        """Return the end of a lease granted now, or None before any report.
 
-        The time is on the worker's clock, and is remembered.
+        The end is recorded, and is in milliseconds by the worker's clock.
         """
         if not self.clock_read_at:
             return None
-        until = self.clock_ms + (now - self.clock_read_at) * 1000.0 + lease_ms
-        self.granted_until_ms = max(self.granted_until_ms, until)
-        return until
+        end_ms = self.clock_ms + (now - self.clock_read_at) * 1000.0 + lease_ms
+        self.granted_until_ms = max(self.granted_until_ms, end_ms)
+        return end_ms
 
     def leases_expired(self, now: float) -> bool:
-        """Tell whether every lease ever given has certainly ended."""
+        """Return whether each lease granted here has certainly expired."""
         if not self.clock_read_at:
             return False
-        least = (self.clock_ms
-                 + (now - self.clock_read_at) * 1000.0 * MIN_CLOCK_RATE)
-        return least > self.granted_until_ms + LEASE_END_SLACK_MS
+        earliest_ms = (self.clock_ms
+                       + (now - self.clock_read_at) * 1000.0 * MIN_CLOCK_RATE)
+        return earliest_ms > self.granted_until_ms + LEASE_END_SLACK_MS
 
     def reserve(self, run: RunId, step: messages.Step,
                 task: progress.TaskState | None) -> None:
-        """Count a run's room as taken until it is released."""
+        """Reserve the resources of a run until it is released."""
         if run in self.reserved:
             return
         self.record_change()
@@ -144,7 +166,7 @@
             self.tasks[run] = task
 
     def release(self, run: RunId, step: messages.Step) -> None:
-        """Give a run's room back."""
+        """Release the reserved resources of a run."""
         self.record_change()
         self.unsent_starts.discard(run)
         self.stopping.discard(run)
@@ -164,12 +186,12 @@
             self.target_runs -= 1
 
     def accepts_starts(self) -> bool:
-        """Tell whether another start would be sent soon."""
+        """Return whether another start order may be queued."""
         return (len(self.unsent_starts) < MAX_UNSENT_STARTS
                 or not self.limits_unsent_starts)
 
     def mark_start_sent(self, run: RunId) -> bool:
-        """Note that a start waits no more; tell if others may follow now."""
+        """Mark a start order as sent; return whether that unblocks others."""
         held_back = not self.accepts_starts()
         self.unsent_starts.discard(run)
         if held_back:
@@ -177,10 +199,10 @@
         return held_back and self.accepts_starts()
 
     def free_capacity(self) -> messages.Room:
-        """Return the room that no run takes; what stops still counts.
+        """Return the capacity that no run reserves; stopping runs do.
 
-        Rounds ask for it tens of thousands of times a second, so it is
-        worked out again only when capacity or use has changed.
+        Placement rounds ask for it tens of thousands of times a second, so it
+        is recomputed only when capacity or use has changed.
         """
         capacity = self.entry.capacity
         if self.free_capacity_key != (capacity, self.used):
@@ -189,23 +211,23 @@
         return self.cached_free_capacity
 
     def usable(self, now: float) -> bool:
-        """Tell whether new runs may be ordered here."""
+        """Return whether new runs may be placed here."""
         return (self.listed and self.enrolled and self.has_reported
                 and not self.unresponsive
                 and not self.entry.draining and self.avoid_until <= now)
 
     def count_runs(self, job_id: str, occurrence: int, step: int) -> int:
-        """Return how many runs of one step are here."""
+        """Return the number of runs of a step here, stopping ones included."""
         return sum(1 for task, _ in self.reserved
                    if task.job_id == job_id and task.occurrence == occurrence
                    and task.step == step)
 
     def record_success(self) -> None:
-        """Note a run that ended as done."""
+        """Record a run that ended successfully."""
         self.failures = 0
 
     def record_failure(self, now: float) -> bool:
-        """Note a failed run; tell whether the worker is avoided from now."""
+        """Record a failed run; return whether the worker is avoided now."""
         self.failures += 1
         if self.failures < MAX_CONSECUTIVE_FAILURES:
             return False
