--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -1,4 +1,4 @@
-"""Show what a worker's link sends when the worker does not answer."""
+"""Test what a worker's link sends when the worker does not respond."""
 
 import threading
 import time
@@ -18,8 +18,8 @@
 from tests import test_fleet_state
 
 
-class LosingWorker(fleetfakes.MemoryWorker):
-    """Lose every start, and tell when one was tried."""
+class StartLosingWorker(fleetfakes.MemoryWorker):
+    """Lose each start order, after a callback."""
 
     def __init__(self, worker_id, on_start):
         super().__init__(worker_id)
@@ -40,14 +40,14 @@
     return bench
 
 
-class ExitedWorker(fleetfakes.MemoryWorker):
-    """Refuse every connection, as the address of an ended process does."""
+class RefusingWorker(fleetfakes.MemoryWorker):
+    """Refuse each connection, as the address of an ended process does."""
 
     refusals = 0
 
     def renew(self, fence, recorded_upto, lease_end_ms, wait_ms):
         self.refusals += 1
-        assert self.refusals < 20, "asked for ever"
+        assert self.refusals < 20, "called without end"
         raise surroundings.NobodyListens("connection refused")
 
 
@@ -57,12 +57,11 @@
         lambda: True, lambda reason: None)
 
 
-def test_silent_worker_is_asked_without_a_lease(bench):
-    """Let the leases of a worker that does not answer come to an end.
+def test_unresponsive_worker_is_queried_without_a_lease(bench):
+    """Granting a lease with each attempt would keep tasks down for ever.
 
-    Symptom: lasting tasks of a worker that had left never ran again.
-    Events: its connections were refused; each try to renew counted as a
-    lease given. Cause: the end of the last lease moved on with every try.
+    The last granted lease would end later with each attempt to renew it, so
+    that tasks of a worker that had left were never started elsewhere.
     """
     link = make_link(bench, fleetfakes.MemoryWorker("i-0"))
     assert link._lease_end_ms() is not None
@@ -73,13 +72,13 @@
 
 
 @pytest.mark.parametrize("pause_s", [0.0, 1.0, 6.0])
-def test_a_pause_after_the_check_makes_no_lease_end_later(
+def test_pause_after_the_lease_check_extends_no_lease(
         bench, monkeypatch, pause_s):
-    """A VM that is frozen there may have a successor when it wakes."""
+    """A VM frozen after the check may have a successor when it resumes."""
     moment = [clock.now()]
     monkeypatch.setattr(clock, "now", lambda: moment[0])
     link = make_link(bench, fleetfakes.MemoryWorker("i-0"))
-    # A millisecond more, for what sums of floats lose.
+    # One millisecond of tolerance for rounding of floats.
     latest_ms = moment[0] * 1000.0 + workerstate.LEASE_MS + 1.0
 
     def may_lease():
@@ -91,8 +90,8 @@
     assert bench.state.workers["i-0"].granted_until_ms <= latest_ms
 
 
-def test_a_start_that_waits_for_the_lock_is_not_sent_after_its_term(bench):
-    """A round may hold the lock for a second, and the owner step down."""
+def test_start_delayed_by_the_lock_is_not_sent_after_stepping_down(bench):
+    """A round may hold the lock for 1 s, in which the owner may step down."""
     worker = fleetfakes.MemoryWorker("i-0")
     owner = owner_mod.Owner(
         fleetfakes.MemoryStore(), fleetfakes.MemoryRoster(()),
@@ -117,17 +116,16 @@
     assert not worker.starts
 
 
-def test_start_lost_before_the_worker_went_silent_is_stopped(bench):
-    """Keep a task whose start may still be carried out from running twice.
+def test_lost_start_to_a_worker_now_unresponsive_is_stopped(bench):
+    """Taking a start that is not retried for an unsent one would run it twice.
 
-    Symptom would be a task on two workers.  Events: a start gets no answer,
-    and before it is repeated the worker counts as silent.  Cause would be
-    to take "not repeated" for "not sent".
+    The first attempt got no response and may still be carried out, although
+    the worker became unresponsive before the second one.
     """
     bench.add(fleetfakes.job("j"))
     rounds.place(bench.state, bench.now, 0)
     order = bench.orders[-1][1]
-    link = make_link(bench, LosingWorker(
+    link = make_link(bench, StartLosingWorker(
         "i-0", lambda: bench.state.mark_unresponsive("i-0", "cut")))
     link._send_start(order)
     task = bench.state.jobs["j"].tasks[0, 0][0]
@@ -135,30 +133,28 @@
     assert isinstance(bench.orders[-1][1], messages.StopOrder)
 
 
-@pytest.mark.parametrize("known_as", ["reported", "unheard"])
-def test_worker_that_nobody_listens_for_is_gone_at_once(bench, known_as):
-    """Run the tasks of a worker whose process has ended elsewhere at once.
+@pytest.mark.parametrize("known_by", ["report", "stored-list"])
+def test_worker_that_refuses_connections_is_removed_at_once(bench, known_by):
+    """Waiting for the leases of an ended process would keep its tasks down.
 
-    Symptom: lasting tasks were down for 5 s after their worker crashed, and
-    up to 13.5 s after a change of owner.  Events: the worker's process
-    ended; its address refused connections; the owner waited for its leases
-    to end.  Cause: a refused connection was taken for one without an answer,
-    though an address without a listener belongs to no running process.
+    An address that refuses connections has no running process.  Treating a
+    refusal like a missing response kept long-running tasks down for 5 s after
+    their worker crashed, and up to 13.5 s after a change of owner.
     """
     bench.add(fleetfakes.job("j"))
     bench.place()
-    if known_as == "unheard":
+    if known_by == "stored-list":
         bench.state.workers["i-0"].has_reported = False
         bench.state.await_workers(["i-0"], bench.now + 100)
-    link = make_link(bench, ExitedWorker("i-0"))
+    link = make_link(bench, RefusingWorker("i-0"))
     link._renew_leases()
     assert "i-0" not in bench.state.workers
     assert not bench.state.awaited_workers
     assert bench.state.jobs["j"].tasks[0, 0][0].phase == progress.IDLE
 
 
-def test_one_refused_connection_is_not_the_end_of_a_worker(bench):
-    """Ask twice: the first refusal may stem from a restart of the link."""
+def test_single_refused_connection_removes_no_worker(bench):
+    """A first refusal may be caused by a restart of the link."""
     bench.add(fleetfakes.job("j"))
     bench.place()
     worker = fleetfakes.MemoryWorker("i-0")
@@ -167,11 +163,10 @@
     assert "i-0" in bench.state.workers
 
 
-def test_entry_of_an_ended_worker_does_not_bring_it_back(bench):
-    """Ignore the entry that an ended worker leaves in the list for a while.
+def test_remaining_entry_of_an_ended_worker_does_not_add_it_again(bench):
+    """An ended worker stays listed until its entry expires.
 
-    Symptom would be a worker that joins and goes every second until its
-    entry lapses.
+    It would be added and removed again every second until then.
     """
     bench.state.mark_dead("i-0", "nobody listens at its address")
     assert not bench.state.add_worker(fleetfakes.entry(0))
@@ -179,8 +174,8 @@
     assert bench.state.add_worker(fleetfakes.entry(0))
 
 
-class DeafToStops(fleetfakes.MemoryWorker):
-    """Leave a number of stops unanswered."""
+class StopIgnoringWorker(fleetfakes.MemoryWorker):
+    """Leave the first stops without a response."""
 
     def __init__(self, worker_id, unanswered):
         super().__init__(worker_id)
@@ -193,19 +188,17 @@
         return super().stop(order, fence)
 
 
-def test_a_stop_is_sent_until_it_is_answered(bench, monkeypatch):
-    """Repeat a stop for as long as the worker does not answer it.
+def test_stop_is_retried_until_it_is_acknowledged(bench, monkeypatch):
+    """Giving up on a stop would keep its task in the stopping phase for ever.
 
-    Symptom would be a task that counts as stopping for ever and never runs
-    again.  Events: a start got no answer; its stop got none either, many
-    times.  Cause would be to give up on the stop.
+    The worker responded neither to a start nor, many times, to its stop.
     """
     monkeypatch.setattr(link_mod, "RETRY_DELAY_S", 0.0)
     bench.add(fleetfakes.job("j"))
     bench.place()
     task = bench.state.jobs["j"].tasks[0, 0][0]
     bench.state.stop_run(task, "test")
-    worker = DeafToStops("i-0", 100)
+    worker = StopIgnoringWorker("i-0", 100)
     link = make_link(bench, worker)
     link.orders.put(bench.orders[-1][1])
     thread = threading.Thread(target=link._send_orders)
@@ -219,13 +212,13 @@
     assert worker.over == {task.task: task.run}
 
 
-def test_a_stop_without_answer_does_not_hold_up_other_orders(bench):
-    """Send what else waits for the worker between two tries of a stop."""
+def test_unacknowledged_stop_does_not_delay_other_orders(bench):
+    """Other queued orders are sent between two attempts of a stop."""
     bench.add(fleetfakes.job("j"))
     bench.place()
     task = bench.state.jobs["j"].tasks[0, 0][0]
     bench.state.stop_run(task, "test")
-    worker = DeafToStops("i-0", 10 ** 6)
+    worker = StopIgnoringWorker("i-0", 10 ** 6)
     link = make_link(bench, worker)
     link.orders.put(bench.orders[-1][1])
     link.orders.put(messages.PaceOrder(task.task, task.run, 50))
--- a/tests/test_fleet_orders.py
+++ b/tests/test_fleet_orders.py
@@ -1,4 +1,4 @@
-"""Show that orders reach workers soon, and the urgent ones first."""
+"""Test that orders are sent to workers soon, and urgent ones first."""
 
 import threading
 import time
@@ -15,11 +15,11 @@
 from tests import fleetfakes
 from tests import test_fleet_state
 
-NARROW = messages.Step(60, messages.Room(100, 10))
+SMALL_TASKS = messages.Step(60, messages.Room(100, 10))
 
 
-def roomy_bench(workers: int = 1) -> test_fleet_state.Bench:
-    """Return a fleet whose room is no limit."""
+def large_worker_bench(workers: int = 1) -> test_fleet_state.Bench:
+    """Return a fleet of workers with more capacity than tasks need."""
     return test_fleet_state.Bench(
         *(fleetfakes.entry(n, cpu=100_000) for n in range(workers)))
 
@@ -30,22 +30,19 @@
 
 
 @pytest.mark.parametrize("workers", [1, 3])
-def test_few_starts_wait_to_be_sent_to_a_worker(workers):
-    """Give a worker no more starts than it is sent soon.
-
-    Symptom: lasting tasks were down for 15 s though they had been placed;
-    cancelled tasks ran on for 12 to 14 s; short tasks of 0.6 s held their
-    room for 8 s.  Events: while a round of placing held the fleet's lock for
-    a second, each worker's link sent one order a round; rounds went on
-    placing on every worker that had room, 5 to 14 orders ahead of what was
-    sent.  Cause: the queue of orders had no limit, so room was given to
-    starts that could not be sent, and stops waited behind them.
-    Evidence: 833 of 1,231 reports of a worker listed exactly one short run
-    that had ended since the last round; a lasting task was ordered at
-    34.7 s behind 7 others and begun at 43.0 s.
+def test_number_of_unsent_starts_per_worker_is_limited(workers):
+    """Unlimited order queues would reserve resources for unsent starts.
+
+    While placement rounds held the lock for 1 s each, a worker's link sent
+    one order per round, but rounds placed tasks 5 to 14 orders ahead.  Placed
+    long-running tasks were down for 15 s, cancelled tasks ran on for 12 to
+    14 s as stops were queued behind starts, and tasks of 0.6 s held their
+    resources for 8 s.  833 of 1,231 reports of a worker listed exactly one
+    finite run that had ended since the last round, and a long-running task
+    ordered at 34.7 s behind 7 others began at 43.0 s.
     """
-    bench = roomy_bench(workers)
-    bench.add(fleetfakes.job("j", NARROW))
+    bench = large_worker_bench(workers)
+    bench.add(fleetfakes.job("j", SMALL_TASKS))
     rounds.place(bench.state, bench.now, 0)
     assert len(starts(bench)) == workers * workerstate.MAX_UNSENT_STARTS
     rounds.place(bench.state, bench.now, 0)
@@ -59,23 +56,22 @@
     assert len(starts(bench)) == workers * workerstate.MAX_UNSENT_STARTS + 1
 
 
-def test_nothing_gives_way_where_room_waits_for_orders_to_be_sent():
-    """Stop no run for a task that has room as soon as orders are out."""
-    bench = roomy_bench()
-    bench.add(fleetfakes.job("patient", messages.Step(
+def test_no_run_is_preempted_where_only_unsent_starts_block_placement():
+    """A task that fits once queued orders are sent needs no preemption."""
+    bench = large_worker_bench()
+    bench.add(fleetfakes.job("low", messages.Step(
         1, messages.Room(90_000, 10)), queue="renewals", priority=2))
     bench.place()
-    bench.add(fleetfakes.job("urgent", NARROW), 21)
+    bench.add(fleetfakes.job("urgent", SMALL_TASKS), 21)
     rounds.place(bench.state, bench.now, 0)
     rounds.place(bench.state, bench.now, 0)
     assert not bench.stops()
 
 
-def test_stops_go_before_starts_that_wait():
-    """Stop a cancelled task at once.
+def test_stops_are_sent_before_queued_starts():
+    """A stop queued behind unsent starts would delay a cancellation.
 
-    Symptom: a task ran on 14 s after its job's cancellation was stored.
-    Events and cause as above: the stop waited behind unsent starts.
+    A task ran on for 14 s after the cancellation of its job was stored.
     """
     queue = link_mod.OrderQueue()
     task = messages.TaskId("j", 0, 0, 0)
@@ -88,8 +84,8 @@
     assert got == orders[3:] + orders[:3]
 
 
-def test_start_that_is_stopped_before_it_was_sent_is_never_sent():
-    bench = roomy_bench()
+def test_start_stopped_while_queued_is_never_sent():
+    bench = large_worker_bench()
     bench.now = clock.now()
     bench.report("i-0")
     worker = fleetfakes.MemoryWorker("i-0")
@@ -110,13 +106,12 @@
 
 
 def test_job_counts_as_waiting_until_a_worker_has_begun_it():
-    """Tell callers how many jobs wait, not how many are not ordered yet.
+    """Counting a job as started by its first order would hide waiting jobs.
 
-    Symptom: 3 jobs were said to wait while 10 had waited for 5 s.  Events:
-    all 10 had orders, which waited up to 10 s to be sent.  Cause: a job
-    counted as begun with its first order.
+    Start orders were queued for up to 10 s: 3 jobs were reported as waiting
+    while 10 had been waiting for 5 s.
     """
-    bench = roomy_bench()
+    bench = large_worker_bench()
     bench.add(fleetfakes.job("j"))
     rounds.place(bench.state, bench.now, 0)
     assert bench.state.count_waiting_jobs() == {"checks": 1}
@@ -129,7 +124,7 @@
 
 
 class CountingLock:
-    """Count how often a lock is taken by a thread that does not hold it."""
+    """Count acquisitions of a lock by a thread that does not hold it."""
 
     def __init__(self, lock):
         self.lock = lock
@@ -146,14 +141,13 @@
         self.lock.release()
 
 
-def test_workers_that_come_back_together_are_taken_up_together(monkeypatch):
-    """Take up all workers of a listing at one turn of the lock.
+def test_returning_workers_are_added_under_one_lock_acquisition(monkeypatch):
+    """Acquiring the lock once per worker would delay the use of workers.
 
-    Symptom: of 28 workers that had been cut off for 5 s the last was used
-    again 24 s after the cut had healed, 14 not before the day's end.  Events:
-    they were given up and taken up again in one listing; between any two of
-    them a round took the lock for a second.  Cause: the lock was taken for
-    each worker.
+    Between any two acquisitions a placement round may hold the lock for 1 s.
+    Of 28 workers that returned together after a partition of 5 s, the last
+    one was used again 24 s after its end, and 14 not within the whole test
+    day.
     """
     monkeypatch.setattr(link_mod.WorkerLink, "start", lambda self: None)
     entries = tuple(fleetfakes.entry(n) for n in range(28))
@@ -167,13 +161,12 @@
     assert lock.taken <= 2
 
 
-def test_nothing_is_placed_while_no_lease_may_be_given(monkeypatch):
-    """Order no start that could not be sent with a lease.
+def test_nothing_is_placed_while_no_lease_can_be_granted(monkeypatch):
+    """Placing tasks that cannot be sent with a lease would be a busy loop.
 
-    Symptom: 1,386 starts in 4 s were rejected before they were sent, and
-    each was placed again at once.  Events: the owner was cut off from the
-    store for longer than its own lease and most workers.  Cause: placing did
-    not ask what sending asks.
+    An owner cut off from most workers, and from the store for longer than its
+    own lease, placed tasks at once again after their starts were rejected
+    unsent: 1,386 starts in 4 s.  Placement needs the same check as sending.
     """
     store = fleetfakes.MemoryStore()
     owner = owner_mod.Owner(
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -1,4 +1,4 @@
-"""Show what is placed where, without any network or thread."""
+"""Test placement on a fleet state, without network or threads."""
 
 import dataclasses
 
@@ -16,11 +16,11 @@
 from sycamorefield.fleet import workerstate
 from tests import fleetfakes
 
-ROOM = messages.Room(1000, 1000)
+TASK_RESOURCES = messages.Room(1000, 1000)
 
 
 class Bench:
-    """A fleet state whose orders are collected."""
+    """A fleet state that collects the orders it issues."""
 
     def __init__(self, *entries: messages.WorkerEntry,
                  policy: policy_mod.Policy = policy_mod.Policy()) -> None:
@@ -43,7 +43,7 @@
             self.now, self.now)
 
     def place(self, wall_ms: float = 1e12) -> list[str]:
-        """Place, accept all starts, and return "task@worker" of each."""
+        """Run a round, accept all starts and return "task@worker" of each."""
         before = len(self.orders)
         self.now += 0.1
         rounds.place(self.state, self.now, wall_ms)
@@ -59,12 +59,12 @@
         return [str(o.task) for _, o in self.orders
                 if isinstance(o, messages.StopOrder)]
 
-    def end(self, worker_id: str, task: str, number: int, how: str,
+    def end(self, worker_id: str, task: str, number: int, outcome: str,
             run: int = 1, saved: str = "") -> None:
         job_id, k, s, i = task.rsplit(".", 3)
         self.now += 0.1
         ended = messages.EndedTask(number, messages.TaskId(
-            job_id, int(k), int(s), int(i)), run, how, saved)
+            job_id, int(k), int(s), int(i)), run, outcome, saved)
         running = [messages.RunningTask(name, number, "", 0)
                    for name, number in self.state.workers[worker_id].tasks
                    if (name, number) != (ended.task, run)]
@@ -76,25 +76,25 @@
     (messages.Step(3, messages.Room(2000, 10)), 2, 3),
     (messages.Step(3, messages.Room(10, 9000)), 2, 2),
     (messages.Step(1, messages.Room(10, 10, 1)), 2, 0),
-    (messages.Step(4, ROOM, max_per_worker=1), 2, 2),
-    (messages.Step(1, ROOM, requires="b"), 2, 0),
-    (messages.Step(1, ROOM, requires="a"), 2, 1),
+    (messages.Step(4, TASK_RESOURCES, max_per_worker=1), 2, 2),
+    (messages.Step(1, TASK_RESOURCES, requires="b"), 2, 0),
+    (messages.Step(1, TASK_RESOURCES, requires="a"), 2, 1),
     (messages.Step(3, messages.Room(2000, 10), gang=True), 1, 0),
     (messages.Step(3, messages.Room(2000, 10), gang=True), 2, 3),
 ], ids=["cpu", "cpu-two", "memory", "gpu", "per-worker", "label-missing",
         "label", "gang-none", "gang-all"])
-def test_no_worker_is_filled_beyond_its_room_or_rules(step, workers, placed):
+def test_no_worker_exceeds_its_capacity_or_placement_rules(step, workers,
+                                                           placed):
     bench = Bench(*(fleetfakes.entry(n) for n in range(workers)))
     bench.add(fleetfakes.job("j", step))
     assert len(bench.place()) == placed
     assert not bench.place()
 
 
-def test_room_of_a_run_being_stopped_counts_until_its_end_is_listed():
-    """Keep a worker within its room while it stops runs.
+def test_stopping_run_keeps_its_resources_until_its_end_is_reported():
+    """Releasing resources when a stop is ordered would overcommit a worker.
 
-    Symptom would be a worker over its capacity for the time a stop takes.
-    Cause would be to give room back when the stop is ordered.
+    The run still uses them until the worker has carried out the stop.
     """
     bench = Bench(fleetfakes.entry(0))
     bench.add(fleetfakes.job("j", messages.Step(
@@ -108,9 +108,9 @@
     assert bench.place() == ["k.0.0.0@i-0"]
 
 
-def test_urgent_task_gets_room_from_a_patient_one_that_resumes():
+def test_urgent_task_preempts_a_low_priority_one_that_resumes_later():
     bench = Bench(fleetfakes.entry(0))
-    bench.add(fleetfakes.job("patient", messages.Step(
+    bench.add(fleetfakes.job("low", messages.Step(
         2, messages.Room(2000, 10), checkpoint=True), queue="renewals",
         priority=2))
     assert len(bench.place()) == 2
@@ -128,23 +128,24 @@
     assert bench.orders[-1][1].saved == "s1"
 
 
-@pytest.mark.parametrize(("ends", "state"), [
+@pytest.mark.parametrize(("outcomes", "state"), [
     ((messages.FAILED, messages.FAILED), messages.JOB_FAILED),
     ((messages.FAILED, messages.DONE), messages.COMPLETED),
     (("stopped", "lapsed", messages.DONE), messages.COMPLETED),
     (("stopped", "stopped", "stopped"), messages.PENDING),
-], ids=["failed-twice", "second-try", "not-its-fault", "only-stopped"])
-def test_only_failed_ends_count_as_attempts(ends, state):
+], ids=["failed-twice", "second-attempt", "stopped-and-lapsed",
+        "only-stopped"])
+def test_only_failed_ends_count_as_attempts(outcomes, state):
     bench = Bench(fleetfakes.entry(0), fleetfakes.entry(1))
     bench.add(fleetfakes.job("j"))
-    numbers = {"i-0": 0, "i-1": 0}
-    for how in ends:
+    end_numbers = {"i-0": 0, "i-1": 0}
+    for outcome in outcomes:
         bench.now += 5.0
         (placed,) = bench.place()
         worker = placed.split("@")[1]
-        numbers[worker] += 1
+        end_numbers[worker] += 1
         run = bench.orders[-1][1].run
-        bench.end(worker, "j.0.0.0", numbers[worker], how, run)
+        bench.end(worker, "j.0.0.0", end_numbers[worker], outcome, run)
     job = bench.state.jobs["j"]
     assert job.state == state
     if state == messages.JOB_FAILED:
@@ -162,12 +163,11 @@
     assert bench.state.jobs["j"].state == messages.PENDING
 
 
-def test_start_without_answer_is_stopped_before_the_task_runs_elsewhere():
-    """Run a task once although an order's answer is lost.
+def test_unanswered_start_is_stopped_before_the_task_runs_elsewhere():
+    """Starting a task elsewhere too early would run it on two workers.
 
-    Symptom would be a task on two workers.  Events: a start gets no answer
-    and may be carried out seconds later.  Cause would be to try elsewhere
-    before the worker has taken a stop of that run.
+    A start without a response may be carried out seconds later, so the
+    worker must first acknowledge a stop of that run.
     """
     bench = Bench(fleetfakes.entry(0), fleetfakes.entry(1))
     bench.add(fleetfakes.job("j"))
@@ -183,11 +183,11 @@
     assert bench.orders[-1][1].run > order.run
 
 
-def test_silent_worker_keeps_its_tasks_until_its_leases_are_over():
-    """Restart a silent worker's tasks only when nothing can run there.
+def test_unresponsive_worker_keeps_its_tasks_until_its_leases_expire():
+    """Restarting tasks of a partitioned worker too early would run them twice.
 
-    Symptom would be a task on two workers after a cut.  Cause would be to
-    take silence for death before the lease has ended on a slow clock.
+    An unresponsive worker may run its tasks until its leases have expired by
+    its own clock, which may be slow.
     """
     bench = Bench(fleetfakes.entry(0), fleetfakes.entry(1))
     bench.add(fleetfakes.job("j"))
@@ -205,8 +205,8 @@
 
 
 @pytest.mark.parametrize("awaited", [False, True])
-def test_only_an_owner_whose_lease_holds_counts_leases_as_over(awaited):
-    """A successor may have renewed those of a worker that is silent here."""
+def test_owner_without_a_lease_expires_no_leases_of_workers(awaited):
+    """A successor may have renewed leases of a worker unresponsive here."""
     bench = Bench(fleetfakes.entry(0), fleetfakes.entry(1))
     if awaited:
         bench.state.await_workers(["i-9"], bench.now + 6.0)
@@ -227,20 +227,21 @@
     assert len(bench.place()) == 1
 
 
-def test_draining_worker_gets_nothing_new():
+def test_draining_worker_gets_no_new_runs():
     bench = Bench(fleetfakes.entry(0))
     bench.state.add_worker(fleetfakes.entry(0, draining=True))
     bench.add(fleetfakes.job("j"))
     assert not bench.place()
 
 
-def test_lasting_task_is_restarted_however_it_ends():
+def test_long_running_task_is_restarted_however_it_ends():
     bench = Bench(fleetfakes.entry(0))
-    bench.add(fleetfakes.job("j", messages.Step(1, ROOM, perpetual=True)))
-    for number, how in enumerate((messages.DONE, messages.FAILED, "lapsed"),
-                                 start=1):
+    bench.add(fleetfakes.job("j", messages.Step(
+        1, TASK_RESOURCES, perpetual=True)))
+    for number, outcome in enumerate(
+            (messages.DONE, messages.FAILED, "lapsed"), start=1):
         assert len(bench.place()) == 1
-        bench.end("i-0", "j.0.0.0", number, how, bench.orders[-1][1].run)
+        bench.end("i-0", "j.0.0.0", number, outcome, bench.orders[-1][1].run)
         bench.now += 5.0
     assert len(bench.place()) == 1
     assert bench.state.jobs["j"].state == messages.PENDING
@@ -255,7 +256,7 @@
     assert bench.place(6000.0) == ["j.1.0.0@i-0"]
 
 
-def test_old_jobs_wait_for_unheard_workers_and_new_ones_do_not():
+def test_only_jobs_of_earlier_terms_wait_for_awaited_workers():
     bench = Bench(fleetfakes.entry(0))
     bench.state.awaited_workers["i-9"] = bench.now + 10.0
     bench.add(fleetfakes.job("old"), created=5)
@@ -266,13 +267,13 @@
     assert bench.place() == ["old.0.0.0@i-0"]
 
 
-def test_worker_that_left_as_announced_frees_its_tasks_at_once():
-    """Restart tasks of a worker that has left without waiting for leases.
+def test_tasks_of_a_worker_that_drained_and_left_restart_at_once():
+    """Treating a worker that left as unresponsive would delay its tasks.
 
-    Symptom: lasting tasks of a worker that had been taken away did not run
-    for 20 s.  Events: the worker was draining, closed its connections and
-    went off the list; then the owner changed, and the successor waited for
-    the worker to report.  Cause: leaving was not told from going dark.
+    A worker that was draining, closed its connections and is no longer listed
+    has exited, so its leases need not expire first.  Waiting for them, and
+    after a change of owner for its report, kept long-running tasks down for
+    20 s.
     """
     bench = Bench(fleetfakes.entry(0), fleetfakes.entry(1))
     bench.add(fleetfakes.job("j"))
@@ -290,8 +291,8 @@
     assert again.split("@")[1] != holder
 
 
-def test_a_worker_is_heard_when_a_report_lists_all_of_its_ends():
-    """The end of a task may be among those that a full list leaves out."""
+def test_worker_is_awaited_until_a_report_lists_all_of_its_ends():
+    """A full list of ends may omit the end of a task that seems unstarted."""
     bench = Bench(fleetfakes.entry(0))
     bench.state.await_workers(["i-9"], bench.now + 14.0)
     bench.state.add_worker(fleetfakes.entry(9))
@@ -309,12 +310,12 @@
     assert bench.state.jobs["j"].state == messages.COMPLETED
 
 
-@pytest.mark.parametrize(("heard", "waits_s"), [(0, 14.0), (3, 7.5)])
-def test_the_last_workers_are_waited_for_less_once_most_reported(heard,
-                                                                 waits_s):
-    bench = Bench(*(fleetfakes.entry(n) for n in range(heard)))
+@pytest.mark.parametrize(("reported", "waits_s"), [(0, 14.0), (3, 7.5)])
+def test_wait_for_remaining_workers_is_cut_once_most_reported(reported,
+                                                              waits_s):
+    bench = Bench(*(fleetfakes.entry(n) for n in range(reported)))
     bench.state.await_workers([f"i-{n}" for n in range(5)], bench.now + 14.0)
-    for n in range(heard):
+    for n in range(reported):
         bench.report(f"i-{n}")
     bench.state.expire(bench.now)
     bench.state.expire(bench.now + waits_s - 1.0)
@@ -323,18 +324,22 @@
     assert not bench.state.awaited_workers
 
 
-@pytest.mark.parametrize(("answering", "lease"), [(3, True), (1, False)])
-def test_most_workers_must_obey_an_owner_without_the_store(answering, lease):
+@pytest.mark.parametrize(("responding", "lease"), [(3, True), (1, False)])
+def test_owner_without_the_store_needs_a_majority_of_workers(responding,
+                                                             lease):
     bench = Bench(*(fleetfakes.entry(n) for n in range(4)))
     bench.now += 5.0
-    for n in range(answering):
+    for n in range(responding):
         bench.report(f"i-{n}")
     assert bench.state.has_quorum(bench.now) is lease
 
 
 @pytest.mark.parametrize("reached", [1, 2, 3])
-def test_no_lease_outlasts_the_wait_of_a_successor_elsewhere(reached):
-    """An owner in a minority must not count itself the majority later."""
+def test_no_lease_outlasts_the_wait_of_a_successor(reached):
+    """An owner in a minority must not consider itself in the majority later.
+
+    It would, if it counted only the workers that it has not removed yet.
+    """
     entries = [fleetfakes.entry(n) for n in range(4)]
     earlier, later = Bench(*entries), Bench()
     start = earlier.now
@@ -370,8 +375,11 @@
     messages.Step(2, messages.Room(3000, 10), gang=True)],
     ids=["single", "gang"])
 @pytest.mark.parametrize("fences", [(10, 20), (10, 11, 12), (10, 20, 90)])
-def test_no_worker_refuses_a_run_as_one_of_an_earlier_term(step, fences):
-    """A gang of which one member is refused waits for it in vain."""
+def test_run_numbers_of_a_new_term_exceed_those_of_earlier_terms(step, fences):
+    """A worker would reject a run number that it takes for a stale one.
+
+    A gang would wait for the rejected member for ever.
+    """
     entries = [fleetfakes.entry(n) for n in range(step.count)]
     workers = {e.worker_id: fleetfakes.MemoryWorker(e.worker_id)
                for e in entries}
@@ -390,9 +398,9 @@
 
 @pytest.mark.parametrize("state", [
     messages.PENDING, messages.COMPLETED, messages.CANCELLED])
-def test_progress_survives_its_record(state):
-    job = fleetfakes.job("j", messages.Step(3, ROOM), messages.Step(
-        2, ROOM, after=(0,), checkpoint=True))
+def test_progress_survives_encoding_and_decoding(state):
+    job = fleetfakes.job("j", messages.Step(3, TASK_RESOURCES), messages.Step(
+        2, TASK_RESOURCES, after=(0,), checkpoint=True))
     first = progress.JobState(job, 5)
     first.occurrence(0)
     first.state = state
@@ -416,41 +424,40 @@
         assert [t.ran for t in again] == [True, False, False]
 
 
-@pytest.mark.parametrize(("tail_ms", "placed"), [(10.0, 1), (40.0, 0)],
+@pytest.mark.parametrize(("second_tail_ms", "placed"), [(10.0, 1), (40.0, 0)],
                          ids=["low-load", "high-load"])
-def test_filling_tasks_take_what_serving_ones_leave_unused(tail_ms, placed):
-    """Place filling tasks by the load of serving ones, told by their tail.
+def test_best_effort_tasks_use_cpu_left_idle_by_long_running_ones(
+        second_tail_ms, placed):
+    """Assuming that a fixed share of reserved CPU is in use would be wrong.
 
-    Symptom: at low load a sixth of the fleet was unused while filling tasks
-    waited, and at high load serving tasks were at twice their target.
-    Cause: a fixed share of what is reserved was taken to be in use.
+    At low load a sixth of the fleet was idle while best-effort tasks waited,
+    and at high load tail latencies of long-running tasks were at twice their
+    target.  The load is estimated from the tail latency instead.
     """
     bench = Bench(fleetfakes.entry(0))
-    bench.add(fleetfakes.job("lasting", messages.Step(
+    bench.add(fleetfakes.job("service", messages.Step(
         1, messages.Room(3000, 10), perpetual=True, image="s",
         target_ms=1000.0)))
     bench.place()
-    name = messages.TaskId("lasting", 0, 0, 0)
-    for figure in (10.0, tail_ms):
+    name = messages.TaskId("service", 0, 0, 0)
+    for figure in (10.0, second_tail_ms):
         bench.report("i-0", [messages.RunningTask(name, 1, "", 100, figure)])
-    bench.add(fleetfakes.job("filling", messages.Step(
+    bench.add(fleetfakes.job("best-effort", messages.Step(
         1, messages.Room(2000, 10), fills=True, image="f")))
     assert len(bench.place()) == placed
 
 
 @pytest.mark.parametrize("order", [("i-0", "i-9"), ("i-9", "i-0")],
                          ids=["old-first", "new-first"])
-def test_lingering_entry_of_an_old_incarnation_displaces_nobody(order):
-    """Leave it to the address itself which incarnation of a worker lives.
-
-    Symptom: tasks ran on two workers, and workers were overfilled.  Events:
-    a worker crashed behind a cut and came back under another ID; its old
-    entry stayed on the list for some seconds beside the new one; with each
-    reading of the list the one that was not known displaced the other, and
-    the runs of the living one were taken for ended and started elsewhere.
-    Cause: an entry that is new to the owner was taken for the newer one.
-    Evidence: a run began at 26.165 s on a worker that had come back, its
-    successor elsewhere at 26.337 s; the first was stopped at 26.821 s.
+def test_stale_entry_of_an_old_incarnation_removes_no_worker(order):
+    """Taking an entry unknown to the owner for the newer one ran tasks twice.
+
+    A worker that crashed during a partition and restarted under another ID is
+    listed twice for some seconds.  If at each reading of the list the unknown
+    entry replaced the known one, runs of the live incarnation would be taken
+    for ended and started elsewhere, and workers be overcommitted.  One task
+    ran on two workers for 0.48 s.  Only a call to the address shows which
+    incarnation is running.
     """
     old = fleetfakes.entry(0)
     new = dataclasses.replace(old, worker_id="i-9")
@@ -460,7 +467,8 @@
     bench.report("i-9")
     bench.state.enrol(["i-9"])
     bench.state.mark_unresponsive("i-0", "cut")
-    bench.add(fleetfakes.job("j", messages.Step(3, ROOM, requires="r0")))
+    bench.add(fleetfakes.job("j", messages.Step(
+        3, TASK_RESOURCES, requires="r0")))
     assert bench.place() == [f"j.0.0.{n}@i-9" for n in range(3)]
     for _ in range(3):
         for worker_id in order:
@@ -472,8 +480,11 @@
 
 
 @pytest.mark.parametrize("first", ["i-0", "i-9"])
-def test_two_entries_at_one_address_free_nothing_by_themselves(first):
-    """Free a worker's tasks when its address says so, not when a list does."""
+def test_second_entry_at_an_address_releases_no_runs(first):
+    """Runs are released when the worker itself rejects a call, not by a list.
+
+    Either entry may be the stale one.
+    """
     entries = [fleetfakes.entry(0),
                dataclasses.replace(fleetfakes.entry(0), worker_id="i-9")]
     entries.sort(key=lambda entry: entry.worker_id != first)
@@ -488,14 +499,17 @@
     assert bench.place() == [f"j.0.0.0@{entries[1].worker_id}"]
 
 
-@pytest.mark.parametrize("how", ["", "lapsed", "stopped", messages.FAILED])
-def test_a_lasting_task_that_an_earlier_owner_ran_is_known_to_have_run(how):
-    """One that is down must come back, not wait as one that is new does."""
+@pytest.mark.parametrize("outcome", ["", "lapsed", "stopped", messages.FAILED])
+def test_long_running_task_of_an_earlier_owner_is_marked_as_run(outcome):
+    """A task that is down must be restarted before new ones are started.
+
+    Taken for one that never ran, it would wait as a new task does.
+    """
     bench = Bench(fleetfakes.entry(0))
     bench.add(fleetfakes.job("j", messages.Step(
         1, messages.Room(1000, 1000), perpetual=True)), created=5)
-    if how:
-        bench.end("i-0", "j.0.0.0", 1, how)
+    if outcome:
+        bench.end("i-0", "j.0.0.0", 1, outcome)
     else:
         bench.report("i-0", [messages.RunningTask(
             messages.TaskId("j", 0, 0, 0), 1, "", 0, 0.0)])
