--- a/sycamorefield/fleet/answers.py
+++ b/sycamorefield/fleet/answers.py
@@ -40,8 +40,9 @@
         return False
 
 
-def started(fleet: state_mod.FleetState, worker_id: str,
-            order: messages.StartOrder, clock_ms: float, now: float) -> None:
+def record_started(fleet: state_mod.FleetState, worker_id: str,
+                   order: messages.StartOrder, clock_ms: float,
+                   now: float) -> None:
     """Record that a worker carried out a start order."""
     with fleet.lock:
         found = fleet.find_worker_and_task(worker_id, order.task)
@@ -59,8 +60,9 @@
                 task.started = now
 
 
-def rejected(fleet: state_mod.FleetState, worker_id: str,
-             order: messages.StartOrder, reason: str, now: float) -> None:
+def record_rejected(fleet: state_mod.FleetState, worker_id: str,
+                    order: messages.StartOrder, reason: str,
+                    now: float) -> None:
     """Record that a start order was rejected or could not be sent."""
     events.emit(events.RUN_REJECTED, task=str(order.task),
                 run=order.run, worker=worker_id, reason=reason)
@@ -86,8 +88,9 @@
         fleet.request_round()
 
 
-def uncertain(fleet: state_mod.FleetState, worker_id: str,
-              order: messages.StartOrder, refused: bool = False) -> None:
+def stop_uncertain_run(fleet: state_mod.FleetState, worker_id: str,
+                       order: messages.StartOrder,
+                       refused: bool = False) -> None:
     """Stop a run whose start got no response, as it may have begun.
 
     Its task runs elsewhere only after the stop is acknowledged.  If each
@@ -104,8 +107,8 @@
             fleet.stop_run(task, "start got no answer")
 
 
-def stopped(fleet: state_mod.FleetState, worker_id: str,
-            order: messages.StopOrder, now: float) -> None:
+def record_stopped(fleet: state_mod.FleetState, worker_id: str,
+                   order: messages.StopOrder, now: float) -> None:
     """Record that a worker accepted a stop: the run cannot begin any more."""
     with fleet.lock:
         found = fleet.find_worker_and_task(worker_id, order.task)
--- a/sycamorefield/fleet/link.py
+++ b/sycamorefield/fleet/link.py
@@ -259,16 +259,16 @@
                 return
             until = self._lease_end_ms()
             if until is None and attempt == 0:
-                answers.rejected(self.fleet, self.worker_id, order, NO_LEASE,
-                                 clock.now())
+                answers.record_rejected(self.fleet, self.worker_id, order,
+                                        NO_LEASE, clock.now())
                 return
             if until is None:
                 # The first attempt may still be carried out.
                 break
             try:
                 clock_ms = self.worker.start(order, self.fleet.fence, until)
-                answers.started(self.fleet, self.worker_id, order, clock_ms,
-                                clock.now())
+                answers.record_started(self.fleet, self.worker_id, order,
+                                       clock_ms, clock.now())
                 return
             except surroundings.OrderRejected as exc:
                 if not self._check_fenced(exc):
@@ -279,17 +279,17 @@
                 events.emit(events.RUN_UNCERTAIN, task=str(order.task),
                             run=order.run, worker=self.worker_id,
                             reason=str(exc))
-        answers.uncertain(self.fleet, self.worker_id, order, refused)
+        answers.stop_uncertain_run(self.fleet, self.worker_id, order, refused)
 
     def _rejected(self, order: messages.StartOrder, reason: str,
                   attempt: int) -> None:
         if attempt:
             # The run of the first attempt may have ended already, or may yet
             # begin; only an acknowledged stop rules that out.
-            answers.uncertain(self.fleet, self.worker_id, order)
+            answers.stop_uncertain_run(self.fleet, self.worker_id, order)
             return
-        answers.rejected(self.fleet, self.worker_id,
-                         order, reason, clock.now())
+        answers.record_rejected(self.fleet, self.worker_id,
+                                order, reason, clock.now())
 
     def _send_stop(self, order: messages.StopOrder) -> None:
         """Send a stop; requeue it behind other orders if it fails.
@@ -301,7 +301,8 @@
             return
         try:
             self.worker.stop(order, self.fleet.fence)
-            answers.stopped(self.fleet, self.worker_id, order, clock.now())
+            answers.record_stopped(
+                self.fleet, self.worker_id, order, clock.now())
         except surroundings.OrderRejected as exc:
             if not self._check_fenced(exc):
                 self._handle_failure(exc)
--- a/tests/test_fleet_advice.py
+++ b/tests/test_fleet_advice.py
@@ -98,8 +98,8 @@
     if how == "rejected":
         bench.now += 0.1
         rounds.place(bench.state, bench.now, 1e12)
-        answers.rejected(bench.state, "i-1", bench.orders[-1][1],
-                         surroundings.NO_TICKET, bench.now)
+        answers.record_rejected(bench.state, "i-1", bench.orders[-1][1],
+                                surroundings.NO_TICKET, bench.now)
     else:
         bench.now += 10.0
     assert not bench.place()
--- a/tests/test_fleet_machine.py
+++ b/tests/test_fleet_machine.py
@@ -580,8 +580,8 @@
             reason = self._carry_out(sent)
             if fate == "answered" and not reason and isinstance(
                     sent.order, messages.StopOrder):
-                answers.stopped(self.fleet, sent.worker_id,
-                                sent.order, self.now)
+                answers.record_stopped(self.fleet, sent.worker_id,
+                                       sent.order, self.now)
             if (fate == "answer lost" and isinstance(
                     sent.order, messages.StopOrder)):
                 self.sent.append(sent)
@@ -597,27 +597,27 @@
             return
         until = self._lease(sent.worker_id)
         if until is None:
-            answers.rejected(self.fleet, sent.worker_id, order, "no lease",
-                             self.now)
+            answers.record_rejected(self.fleet, sent.worker_id, order,
+                                    "no lease", self.now)
             return
         sent.until_ms = until
         sent.at = self.now
         if fate in ("lost", "late"):
             if fate == "late":
                 self.late.append(sent)
-            answers.uncertain(self.fleet, sent.worker_id, order)
+            answers.stop_uncertain_run(self.fleet, sent.worker_id, order)
             return
         reason = self._carry_out(sent)
         if reason == surroundings.FENCED:
             self._step_down()
         elif fate == "answer lost" or reason == "gone":
-            answers.uncertain(self.fleet, sent.worker_id, order)
+            answers.stop_uncertain_run(self.fleet, sent.worker_id, order)
         elif reason:
-            answers.rejected(self.fleet, sent.worker_id,
-                             order, reason, self.now)
+            answers.record_rejected(self.fleet, sent.worker_id,
+                                    order, reason, self.now)
         else:
-            answers.started(self.fleet, sent.worker_id, order,
-                            self.now * 1000.0, self.now)
+            answers.record_started(self.fleet, sent.worker_id, order,
+                                   self.now * 1000.0, self.now)
 
     @stateful.precondition(lambda self: self.late)
     @stateful.rule(data=strategies.data())
--- a/tests/test_fleet_review.py
+++ b/tests/test_fleet_review.py
@@ -148,7 +148,7 @@
         bench.state.mark_unresponsive(worker_id, "no answer")
         assert not answers.should_send(bench.state, worker_id, order)
     else:
-        answers.rejected(bench.state, worker_id, order, fate, bench.now)
+        answers.record_rejected(bench.state, worker_id, order, fate, bench.now)
     state = bench.state.jobs["lasting"]
     for late_s in (0.0, 0.5):
         bench.now = down_at + ordering.DOWN_S + late_s
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -51,8 +51,8 @@
         for worker_id, order in self.orders[before:]:
             if isinstance(order, messages.StartOrder):
                 placed.append(f"{order.task}@{worker_id}")
-                answers.started(self.state, worker_id, order,
-                                self.now * 1000.0, self.now)
+                answers.record_started(self.state, worker_id, order,
+                                       self.now * 1000.0, self.now)
         return placed
 
     def stops(self) -> list[str]:
@@ -173,10 +173,11 @@
     bench.add(fleetfakes.job("j"))
     rounds.place(bench.state, bench.now, 0)
     worker_id, order = bench.orders[-1]
-    answers.uncertain(bench.state, worker_id, order)
+    answers.stop_uncertain_run(bench.state, worker_id, order)
     bench.report(worker_id)
     assert not bench.place()
-    answers.stopped(bench.state, worker_id, bench.orders[-1][1], bench.now)
+    answers.record_stopped(bench.state, worker_id,
+                           bench.orders[-1][1], bench.now)
     bench.now += 0.1
     bench.report(worker_id)
     assert len(bench.place()) == 1
