--- a/sycamorefield/fleet/link.py
+++ b/sycamorefield/fleet/link.py
@@ -257,22 +257,23 @@
             if attempt == 0 and not answers.should_send(
                     self.fleet, self.worker_id, order):
                 return
-            until = self._lease_end_ms()
-            if until is None and attempt == 0:
+            lease_end_ms = self._lease_end_ms()
+            if lease_end_ms is None and attempt == 0:
                 answers.record_rejected(self.fleet, self.worker_id, order,
                                         NO_LEASE, clock.now())
                 return
-            if until is None:
+            if lease_end_ms is None:
                 # The first attempt may still be carried out.
                 break
             try:
-                clock_ms = self.worker.start(order, self.fleet.fence, until)
+                clock_ms = self.worker.start(
+                    order, self.fleet.fence, lease_end_ms)
                 answers.record_started(self.fleet, self.worker_id, order,
                                        clock_ms, clock.now())
                 return
             except surroundings.OrderRejected as exc:
                 if not self._check_fenced(exc):
-                    self._rejected(order, exc.reason, attempt)
+                    self._handle_rejection(order, exc.reason, attempt)
                 return
             except surroundings.CallFailed as exc:
                 refused &= isinstance(exc, surroundings.NobodyListens)
@@ -281,8 +282,8 @@
                             reason=str(exc))
         answers.stop_uncertain_run(self.fleet, self.worker_id, order, refused)
 
-    def _rejected(self, order: messages.StartOrder, reason: str,
-                  attempt: int) -> None:
+    def _handle_rejection(self, order: messages.StartOrder, reason: str,
+                          attempt: int) -> None:
         if attempt:
             # The run of the first attempt may have ended already, or may yet
             # begin; only an acknowledged stop rules that out.
--- a/sycamorefield/fleet/state.py
+++ b/sycamorefield/fleet/state.py
@@ -36,8 +36,8 @@
 # plus a lag of 0.8 s.  Until then the worker list may still contain a worker
 # that is known to have ended.
 ENTRY_TTL_S = 5.0
-# A reduced capacity of a worker is binding 3 s after it shrank.  No task is
-# started by a worker list that is older than this, in seconds.
+# A reduced capacity of a worker becomes binding 3 s after it shrank.  No task
+# is started on the basis of a worker list older than this, in seconds.
 MAX_LIST_AGE_S = 2.8
 # A worker is listed as draining for at least this long before it leaves.
 DRAIN_NOTICE_S = 2.0
@@ -232,7 +232,7 @@
             return True
 
     def update_listed(self, listed: set[str], read_at: float) -> None:
-        """Update which workers are listed, by a list read at a time."""
+        """Update which workers are listed, from a list read at read_at."""
         with self.lock:
             if not 0 <= read_at - self.list_read_at <= DRAIN_NOTICE_S:
                 self.drains_visible_since = read_at
@@ -242,7 +242,7 @@
                 worker.ever_listed |= worker.listed
 
     def would_show_drain(self, since: float, now: float) -> bool:
-        """Return whether a worker that drained since a time would be known.
+        """Return whether a drain that began after a time would be known.
 
         The list must have been read without long pauses from then until now.
         """
@@ -363,7 +363,7 @@
             for worker in list(self.workers.values()):
                 if (worker.unresponsive and lease_held
                         and worker.leases_expired(now)):
-                    self._remove_worker(worker, "lease over")
+                    self._remove_worker(worker, "lease expired")
                 elif (worker.unresponsive and worker.connection_closed
                         and not worker.listed):
                     # It was draining, closed its connections and removed
--- a/sycamorefield/fleet/workerstate.py
+++ b/sycamorefield/fleet/workerstate.py
@@ -31,8 +31,8 @@
 MAX_UNSENT_STARTS = 8
 
 # A worker that failed this many runs in a row gets no new runs for AVOID_S
-# seconds.  Otherwise a worker on which every run fails, and which therefore
-# always has free capacity, would use up the attempts of many tasks.
+# seconds.  Otherwise a worker on which each run fails would use up all attempts
+# of tasks.
 MAX_CONSECUTIVE_FAILURES = 3
 AVOID_S = 3.0
 
@@ -151,9 +151,9 @@
         if run in self.reserved:
             return
         self.record_change()
-        room = step.reserved()
-        self.reserved[run] = room
-        self.used = self.used.plus(room)
+        resources = step.reserved()
+        self.reserved[run] = resources
+        self.used = self.used.plus(resources)
         if step.fills:
             self.best_effort_cpu += step.room.cpu
         elif step.perpetual:
@@ -171,11 +171,11 @@
         self.unsent_starts.discard(run)
         self.stopping.discard(run)
         self.refused_starts.discard(run)
-        room = self.reserved.pop(run, None)
+        resources = self.reserved.pop(run, None)
         self.tasks.pop(run, None)
-        if room is None:
+        if resources is None:
             return
-        self.used = self.used.minus(room)
+        self.used = self.used.minus(resources)
         if step.fills:
             self.best_effort_cpu -= step.room.cpu
         elif step.perpetual:
