--- a/sycamorefield/fleet/workerstate.py
+++ b/sycamorefield/fleet/workerstate.py
@@ -31,8 +31,8 @@
 MAX_UNSENT_STARTS = 8
 
 # A worker that failed this many runs in a row gets no new runs for AVOID_S
-# seconds.  Otherwise a worker on which each run fails would use up all attempts
-# of tasks.
+# seconds.  Otherwise a worker on which each run fails would use up attempts
+# of all tasks.
 MAX_CONSECUTIVE_FAILURES = 3
 AVOID_S = 3.0
 
