--- a/sycamorefield/fleet/answers.py
+++ b/sycamorefield/fleet/answers.py
@@ -1,4 +1,4 @@
-"""Take in what became of the orders sent to workers."""
+"""Apply the outcomes of orders sent to workers."""
 
 from sycamorefield import events
 from sycamorefield.fleet import messages
@@ -6,16 +6,17 @@
 from sycamorefield.fleet import state as state_mod
 from sycamorefield.fleet import surroundings
 
-# A worker that turned a start away gets none for this long.
-UNHEALTHY_S = 2.0
-NO_ROOM_S = 0.5
+# How long a worker that rejected a start gets no other, in seconds, by the
+# reason it gave.
+UNHEALTHY_PAUSE_S = 2.0
+NO_CAPACITY_PAUSE_S = 0.5
 
 
-def still_wanted(fleet: state_mod.FleetState, worker_id: str,
-                 order: messages.StartOrder) -> bool:
-    """Tell whether a start that waited to be sent should still go.
+def should_send(fleet: state_mod.FleetState, worker_id: str,
+                order: messages.StartOrder) -> bool:
+    """Return whether a queued start order should still be sent.
 
-    If not, it is taken back: it was never sent.
+    If not, the run is released at once, since it was never sent.
     """
     with fleet.lock:
         found = fleet.find(order.task)
@@ -23,86 +24,93 @@
         if found is None or worker is None:
             return False
         job, task = found
-        if worker.start_sent((order.task, order.run)):
-            fleet.notify()
-        # The worker's room may have shrunk while the start waited.
+        if worker.mark_start_sent((order.task, order.run)):
+            fleet.request_round()
+        # The worker's capacity may have shrunk while the order was queued.
         if (fleet.is_current(worker, task, order.run)
                 and task.phase == progress.STARTING
-                and not job.final() and not worker.silent
+                and not job.final() and not worker.unresponsive
                 and not worker.entry.draining
                 and worker.entry.capacity.holds(worker.used)):
             return True
         worker.release((order.task, order.run), task.step)
         if fleet.is_current(worker, task, order.run):
             task.idle()
-        fleet.notify()
+        fleet.request_round()
         return False
 
 
-def started(fleet: state_mod.FleetState, worker_id: str,
-            order: messages.StartOrder, clock_ms: float, now: float) -> None:
-    """Note that a worker carried out a start."""
+def record_started(fleet: state_mod.FleetState, worker_id: str,
+                   order: messages.StartOrder, clock_ms: float,
+                   now: float) -> None:
+    """Record that a worker carried out a start order."""
     with fleet.lock:
-        found = fleet.find_on(worker_id, order.task)
+        found = fleet.find_worker_and_task(worker_id, order.task)
         if found is None:
             return
         worker, task = found
-        worker.heard(clock_ms, now)
-        worker.start_sent((order.task, order.run))
+        worker.sync_clock(clock_ms, now)
+        worker.mark_start_sent((order.task, order.run))
         task.begun = True
         if fleet.is_current(worker, task, order.run):
             task.moved_at = now
             if task.phase == progress.STARTING:
-                worker.touch()
+                worker.record_change()
                 task.phase = progress.RUNNING
                 task.started = now
 
 
-def rejected(fleet: state_mod.FleetState, worker_id: str,
-             order: messages.StartOrder, reason: str, now: float) -> None:
-    """Note that a worker did not carry out a start."""
+def record_rejected(fleet: state_mod.FleetState, worker_id: str,
+                    order: messages.StartOrder, reason: str,
+                    now: float) -> None:
+    """Record that a start order was rejected or could not be sent."""
     events.emit(events.RUN_REJECTED, task=str(order.task),
                 run=order.run, worker=worker_id, reason=reason)
     with fleet.lock:
-        found = fleet.find_on(worker_id, order.task)
+        found = fleet.find_worker_and_task(worker_id, order.task)
         if found is None:
             return
         worker, task = found
         worker.release((order.task, order.run), task.step)
         if reason == surroundings.NO_ROOM:
-            worker.avoid_until = now + NO_ROOM_S
+            worker.avoid_until = now + NO_CAPACITY_PAUSE_S
         elif reason == surroundings.NO_TICKET:
             fleet.advice.drop(task.task.step_id(), worker_id)
         elif reason == surroundings.UNHEALTHY:
-            worker.avoid_until = now + UNHEALTHY_S
+            worker.avoid_until = now + UNHEALTHY_PAUSE_S
         elif reason == surroundings.OLD_RUN:
             task.last_run = max(task.last_run,
                                 order.run) + progress.RUN_GAP
         else:
-            task.not_before = now + UNHEALTHY_S
+            task.not_before = now + UNHEALTHY_PAUSE_S
         if fleet.is_current(worker, task, order.run):
             task.idle()
-        fleet.notify()
+        fleet.request_round()
 
 
-def uncertain(fleet: state_mod.FleetState, worker_id: str,
-              order: messages.StartOrder, never_began: bool = False) -> None:
-    """Stop a run whose start got no answer, before it runs elsewhere."""
+def stop_uncertain_run(fleet: state_mod.FleetState, worker_id: str,
+                       order: messages.StartOrder,
+                       refused: bool = False) -> None:
+    """Stop a run whose start got no response, as it may have begun.
+
+    Its task runs elsewhere only after the stop is acknowledged.  If each
+    attempt was refused for lack of a listener, the run cannot have begun.
+    """
     with fleet.lock:
-        found = fleet.find_on(worker_id, order.task)
+        found = fleet.find_worker_and_task(worker_id, order.task)
         if found is None:
             return
         worker, task = found
-        if never_began:
-            worker.never_began.add((order.task, order.run))
+        if refused:
+            worker.refused_starts.add((order.task, order.run))
         if fleet.is_current(worker, task, order.run):
             fleet.stop_run(task, "start got no answer")
 
 
-def stopped(fleet: state_mod.FleetState, worker_id: str,
-            order: messages.StopOrder, now: float) -> None:
-    """Note that a worker has taken a stop: the run cannot begin now."""
+def record_stopped(fleet: state_mod.FleetState, worker_id: str,
+                   order: messages.StopOrder, now: float) -> None:
+    """Record that a worker accepted a stop: the run cannot begin any more."""
     with fleet.lock:
-        found = fleet.find_on(worker_id, order.task)
+        found = fleet.find_worker_and_task(worker_id, order.task)
         if found is not None and fleet.is_current(*found, order.run):
             found[1].moved_at = now
--- a/sycamorefield/fleet/link.py
+++ b/sycamorefield/fleet/link.py
@@ -1,4 +1,8 @@
-"""Follow one worker: one task renews its lease, one sends its orders."""
+"""Manage the calls to one worker.
+
+One thread renews the worker's lease and receives its reports; another one
+sends orders.
+"""
 
 import itertools
 import queue
@@ -17,69 +21,77 @@
 from sycamorefield.fleet import workerstate
 from sycamorefield import metrics
 
-# How long a worker holds its report while nothing ends.  It bounds how long
-# a dead worker goes unnoticed.
+# How long a worker may delay its report while no run ends.  It bounds the time
+# for which the failure of a worker goes unnoticed.
 REPORT_WAIT_MS = 1200
-# Tails are watched more closely where tasks that fill run beside tasks that
-# serve, and most where one is near its target; the figures are half a second
-# old anyway.
-WATCHFUL_WAIT_MS = 800
-WORRIED_WAIT_MS = 400
-WORRIED_AT = 0.4
-# The end of a trial shows in a report, and others wait for the worker.
-TRIAL_WAIT_MS = 150
-RETRY_PAUSE_S = 0.15
-# A report repeats ends until they are recorded; asking again before that
-# would be answered at once.
+# Reports are requested more often where best-effort tasks share a worker with
+# tasks that have a latency target, and most often where a tail latency exceeds
+# NEAR_TARGET_RATIO of its target.  Shorter waits gain little, as the reported
+# tail latencies are half a second old anyway.
+SHARED_WAIT_MS = 800
+NEAR_TARGET_WAIT_MS = 400
+NEAR_TARGET_RATIO = 0.4
+# The end of a quarantine run is learned from a report, and until then no other
+# task may use the worker.
+QUARANTINE_WAIT_MS = 150
+RETRY_DELAY_S = 0.15
+# A report lists ended runs until their ends are stored, and is sent without
+# delay while there are any.  So the next one is requested only when they are
+# stored, or after this many seconds.
 RECORD_WAIT_S = 0.4
-START_TRIES = 2
-# An address that refuses this many connections in a row, 0.15 s apart, has
-# no process any more.
-REFUSALS_TO_END = 2
+START_ATTEMPTS = 2
+# After this many refused connections in a row, RETRY_DELAY_S apart, no process
+# is left at a worker's address.
+REFUSALS_UNTIL_DEAD = 2
 NO_LEASE = "no lease may be given"
 
-MayAct = typing.Callable[[], bool]
+Permission = typing.Callable[[], bool]
 
 
 class OrderQueue:
-    """Hold orders until they are sent: stops first, others as they came.
+    """Queue orders to one worker: stops first, others first in, first out.
 
-    A stop behind starts that wait lets a cancelled task run on meanwhile; a
-    start whose run was stopped before it was sent is then not sent at all.
+    A cancelled task would keep running while its stop is queued behind
+    starts.  A start whose run is stopped while the start is queued is never
+    sent.
     """
 
     def __init__(self) -> None:
-        self.waiting: queue.PriorityQueue[
+        self.entries: queue.PriorityQueue[
             tuple[bool, int, state_mod.Order | None]] = queue.PriorityQueue()
-        self.numbers = itertools.count()
+        self.sequence = itertools.count()
 
     def put(self, order: state_mod.Order | None) -> None:
-        """Add an order; None ends the queue at once."""
+        """Add an order; None makes the sender end before other orders."""
         urgent = order is None or isinstance(order, messages.StopOrder)
-        self.waiting.put((not urgent, next(self.numbers), order))
+        self.entries.put((not urgent, next(self.sequence), order))
 
-    def put_behind(self, order: state_mod.Order) -> None:
-        """Add an order that failed behind all that wait."""
-        self.waiting.put((True, next(self.numbers), order))
+    def requeue(self, order: state_mod.Order) -> None:
+        """Add an order whose call failed behind all queued ones."""
+        self.entries.put((True, next(self.sequence), order))
 
     def get(self) -> state_mod.Order | None:
-        """Wait for the next order."""
-        return self.waiting.get()[2]
+        """Wait for the next order and return it."""
+        return self.entries.get()[2]
 
 
 class WorkerLink:
-    """Hold the two tasks that speak to one worker."""
+    """Run the two threads that call one worker.
+
+    may_act and may_lease return whether this process may still send orders
+    and grant leases; step_down gives up ownership, with a reason.
+    """
 
     def __init__(self, entry: messages.WorkerEntry,
                  worker: surroundings.Worker, fleet: state_mod.FleetState,
-                 may_act: MayAct, may_lease: MayAct,
-                 deposed: typing.Callable[[str], None]) -> None:
+                 may_act: Permission, may_lease: Permission,
+                 step_down: typing.Callable[[str], None]) -> None:
         self.worker_id = entry.worker_id
         self.worker = worker
         self.fleet = fleet
         self.may_act = may_act
         self.may_lease = may_lease
-        self.deposed = deposed
+        self.step_down = step_down
         self.closed = False
         self.refusals = 0
         self.recorded = threading.Event()
@@ -87,133 +99,138 @@
         self.orders = OrderQueue()
 
     def start(self) -> None:
-        """Begin both tasks."""
-        for target in (self._reports, self._orders):
-            threading.Thread(target=self._guarded, args=(target,),
+        """Start both threads."""
+        for target in (self._renew_leases, self._send_orders):
+            threading.Thread(target=self._run_guarded, args=(target,),
                              daemon=True).start()
 
-    def _guarded(self, target: typing.Callable[[], None]) -> None:
-        """Hand the fleet over on an unexpected error.
+    def _run_guarded(self, target: typing.Callable[[], None]) -> None:
+        """Run a thread's function; step down on an unexpected error.
 
-        A worker without one of its tasks would keep its place, but its
-        leases would run out or its starts would wait for ever.
+        A worker without one of its threads would still be considered usable,
+        but its leases would expire or its start orders never be sent.
         """
         try:
             target()
         except Exception as exc:
             events.emit(events.THREAD_FAILED, reason=repr(exc),
                         where=events.place(exc), worker=self.worker_id)
-            self.deposed("unexpected error")
+            self.step_down("unexpected error")
 
     def close(self) -> None:
-        """End both tasks after the calls under way."""
+        """End both threads after their current calls."""
         self.closed = True
         self.orders.put(None)
         self.recorded.set()
 
-    def mark_seen(self, number: int) -> None:
-        """Let the worker forget ends up to a number: they are stored."""
+    def acknowledge_ends(self, number: int) -> None:
+        """Let the worker forget ends up to a number, as they are stored."""
         if number > self.recorded_upto:
             self.recorded_upto = number
             self.recorded.set()
 
-    def _until(self) -> float | None:
-        """Return the end of a lease given now, or None to give none.
+    def _lease_end_ms(self) -> float | None:
+        """Return the end of a lease granted now, or None to grant none.
 
-        A silent worker is only asked: a call without an answer may still be
-        carried out, and with a lease in each try its tasks could never be
-        counted as over.
+        An unresponsive worker is queried without a lease: a call without a
+        response may still be carried out, and if each attempt granted a
+        lease, the runs there could never be considered ended.
 
-        The lease counts from before the check that it may be given.  If the
-        VM is frozen or waits for the lock in between, the lease gets shorter
-        instead of outlasting what a successor waits for it.
+        The lease starts before the check that it may be granted.  If the VM
+        is frozen or waits for the lock after the check, the lease becomes
+        shorter instead of lasting longer than a successor waits for it.
         """
         now = clock.now()
         if not self.may_lease():
             return None
         with self.fleet.lock:
             worker = self.fleet.workers.get(self.worker_id)
-            if worker is None or worker.silent:
+            if worker is None or worker.unresponsive:
                 return None
-            return worker.lease_until(
+            return worker.grant_lease(
                 min(workerstate.LEASE_MS, self.fleet.hold_max_ms), now)
 
-    def _wait_ms(self) -> int:
+    def _report_wait_ms(self) -> int:
         with self.fleet.lock:
             worker = self.fleet.workers.get(self.worker_id)
-            if worker is None or not worker.reported or worker.silent:
+            if (worker is None or not worker.has_reported
+                    or worker.unresponsive):
                 return 0
-            if self.fleet.without_store:
-                return WORRIED_WAIT_MS
+            if self.fleet.store_unreachable:
+                return NEAR_TARGET_WAIT_MS
             if self.fleet.trials.on(self.worker_id):
-                return TRIAL_WAIT_MS
-            if worker.serving and worker.filling_cpu:
-                worst = max((t.ratio for t in worker.tails), default=1.0)
-                return (WORRIED_WAIT_MS if worst > WORRIED_AT
-                        else WATCHFUL_WAIT_MS)
+                return QUARANTINE_WAIT_MS
+            if worker.target_runs and worker.best_effort_cpu:
+                worst = max(
+                    (t.ratio for t in worker.tail_latencies), default=1.0)
+                return (NEAR_TARGET_WAIT_MS if worst > NEAR_TARGET_RATIO
+                        else SHARED_WAIT_MS)
             return REPORT_WAIT_MS
 
-    def _reports(self) -> None:
+    def _renew_leases(self) -> None:
         while not self.closed and self.may_act():
-            sent = clock.now()
+            sent_at = clock.now()
             self.recorded.clear()
             try:
                 report = self.worker.renew(
-                    self.fleet.fence, self.recorded_upto, self._until(),
-                    self._wait_ms())
+                    self.fleet.fence, self.recorded_upto, self._lease_end_ms(),
+                    self._report_wait_ms())
             except surroundings.OtherIncarnation:
                 crashes.worker_reborn(self.fleet, self.worker_id)
                 return
             except surroundings.OrderRejected as exc:
-                if self._fenced(exc):
+                if self._check_fenced(exc):
                     return
-                self._failed(exc)
+                self._handle_failure(exc)
                 continue
             except surroundings.NobodyListens as exc:
-                if self._nobody_listens(exc):
+                if self._handle_refusal(exc):
                     return
                 continue
             except surroundings.CallFailed as exc:
-                self._failed(exc)
+                self._handle_failure(exc)
                 continue
             if self.closed:
                 return
             self.refusals = 0
-            came = clock.now()
-            new_ends = reports.take(self.fleet, self.worker_id, report, sent,
-                                    came)
-            metrics.CALLS.record(usage.REPORT, clock.now() - came)
+            received_at = clock.now()
+            new_ends = reports.apply_report(
+                self.fleet, self.worker_id, report, sent_at, received_at)
+            metrics.CALLS.record(usage.REPORT, clock.now() - received_at)
             if new_ends or report.ended:
                 self.recorded.wait(RECORD_WAIT_S)
 
-    def _nobody_listens(self, exc: surroundings.NobodyListens) -> bool:
-        """Note a refused connection; tell if the worker has ended.
+    def _handle_refusal(self, exc: surroundings.NobodyListens) -> bool:
+        """Handle a refused connection; return whether the worker has ended.
 
-        Its tasks then run elsewhere within half a second instead of when its
-        leases are over, some seconds later.
+        If so, its tasks run elsewhere within half a second instead of some
+        seconds later, when its leases have expired.
         """
         self.refusals += 1
-        if (self.refusals >= REFUSALS_TO_END
-                and self.fleet.was_used(self.worker_id)):
+        if (self.refusals >= REFUSALS_UNTIL_DEAD
+                and self.fleet.has_listened(self.worker_id)):
             crashes.worker_refuses(self.fleet, self.worker_id)
             return True
-        self._failed(exc)
+        self._handle_failure(exc)
         return False
 
-    def _fenced(self, exc: surroundings.OrderRejected) -> bool:
-        """Step down if a rejection shows that there is a successor."""
+    def _check_fenced(self, exc: surroundings.OrderRejected) -> bool:
+        """Step down if a rejection shows that there is a successor.
+
+        Return whether it does.
+        """
         if exc.reason != surroundings.FENCED:
             return False
-        self.deposed(f"fenced by worker {self.worker_id}")
+        self.step_down(f"fenced by worker {self.worker_id}")
         return True
 
-    def _failed(self, exc: Exception) -> None:
-        self.fleet.worker_silent(
+    def _handle_failure(self, exc: Exception) -> None:
+        self.fleet.mark_unresponsive(
             self.worker_id, str(exc),
             isinstance(exc, surroundings.ConnectionClosed))
-        threading.Event().wait(RETRY_PAUSE_S)
+        threading.Event().wait(RETRY_DELAY_S)
 
-    def _orders(self) -> None:
+    def _send_orders(self) -> None:
         while True:
             order = self.orders.get()
             if order is None or self.closed:
@@ -233,65 +250,67 @@
             self._send_pace(order)
 
     def _send_start(self, order: messages.StartOrder) -> None:
-        never_began = True
-        for attempt in range(START_TRIES):
+        refused = True
+        for attempt in range(START_ATTEMPTS):
             if not self.may_act():
                 return
-            if attempt == 0 and not answers.still_wanted(
+            if attempt == 0 and not answers.should_send(
                     self.fleet, self.worker_id, order):
                 return
-            until = self._until()
-            if until is None and attempt == 0:
-                answers.rejected(self.fleet, self.worker_id, order, NO_LEASE,
-                                 clock.now())
+            lease_end_ms = self._lease_end_ms()
+            if lease_end_ms is None and attempt == 0:
+                answers.record_rejected(self.fleet, self.worker_id, order,
+                                        NO_LEASE, clock.now())
                 return
-            if until is None:
-                # The first try may still be carried out.
+            if lease_end_ms is None:
+                # The first attempt may still be carried out.
                 break
             try:
-                clock_ms = self.worker.start(order, self.fleet.fence, until)
-                answers.started(self.fleet, self.worker_id, order, clock_ms,
-                                clock.now())
+                clock_ms = self.worker.start(
+                    order, self.fleet.fence, lease_end_ms)
+                answers.record_started(self.fleet, self.worker_id, order,
+                                       clock_ms, clock.now())
                 return
             except surroundings.OrderRejected as exc:
-                if not self._fenced(exc):
-                    self._rejected(order, exc.reason, attempt)
+                if not self._check_fenced(exc):
+                    self._handle_rejection(order, exc.reason, attempt)
                 return
             except surroundings.CallFailed as exc:
-                never_began &= isinstance(exc, surroundings.NobodyListens)
+                refused &= isinstance(exc, surroundings.NobodyListens)
                 events.emit(events.RUN_UNCERTAIN, task=str(order.task),
                             run=order.run, worker=self.worker_id,
                             reason=str(exc))
-        answers.uncertain(self.fleet, self.worker_id, order, never_began)
+        answers.stop_uncertain_run(self.fleet, self.worker_id, order, refused)
 
-    def _rejected(self, order: messages.StartOrder, reason: str,
-                  attempt: int) -> None:
+    def _handle_rejection(self, order: messages.StartOrder, reason: str,
+                          attempt: int) -> None:
         if attempt:
-            # The first try may have been carried out and have ended since,
-            # or may still be; only a stop settles it.
-            answers.uncertain(self.fleet, self.worker_id, order)
+            # The run of the first attempt may have ended already, or may yet
+            # begin; only an acknowledged stop rules that out.
+            answers.stop_uncertain_run(self.fleet, self.worker_id, order)
             return
-        answers.rejected(self.fleet, self.worker_id,
-                         order, reason, clock.now())
+        answers.record_rejected(self.fleet, self.worker_id,
+                                order, reason, clock.now())
 
     def _send_stop(self, order: messages.StopOrder) -> None:
-        """Send a stop; without an answer put it behind what else waits.
+        """Send a stop; requeue it behind other orders if it fails.
 
-        Until it is answered the run may still begin, so giving up would
-        keep its task from ever running again.
+        Until the worker acknowledges it, the run may still begin and its task
+        cannot run elsewhere, so a stop is never given up.
         """
         if not self.may_act():
             return
         try:
             self.worker.stop(order, self.fleet.fence)
-            answers.stopped(self.fleet, self.worker_id, order, clock.now())
+            answers.record_stopped(
+                self.fleet, self.worker_id, order, clock.now())
         except surroundings.OrderRejected as exc:
-            if not self._fenced(exc):
-                self._failed(exc)
-                self.orders.put_behind(order)
+            if not self._check_fenced(exc):
+                self._handle_failure(exc)
+                self.orders.requeue(order)
         except surroundings.CallFailed as exc:
-            self._failed(exc)
-            self.orders.put_behind(order)
+            self._handle_failure(exc)
+            self.orders.requeue(order)
 
     def _send_pace(self, order: messages.PaceOrder) -> None:
         if not self.may_act():
@@ -299,10 +318,10 @@
         try:
             self.worker.pace(order, self.fleet.fence)
         except surroundings.OrderRejected as exc:
-            self._fenced(exc)
+            self._check_fenced(exc)
         except surroundings.CallFailed:
-            # The next report shows whether the tail came down; the pace is
-            # sent again with the next change.
+            # The next report shows whether the tail latency fell; the pace is
+            # sent again with its next change.
             events.emit(events.RUN_UNCERTAIN, task=str(order.task),
                         run=order.run, worker=self.worker_id,
                         reason="pace got no answer")
--- a/sycamorefield/fleet/reports.py
+++ b/sycamorefield/fleet/reports.py
@@ -1,4 +1,4 @@
-"""Take in what a worker reports of its runs."""
+"""Apply workers' reports of running and ended tasks to the fleet state."""
 
 from sycamorefield import events
 from sycamorefield.fleet import demand
@@ -9,62 +9,68 @@
 from sycamorefield.fleet import state as state_mod
 from sycamorefield.fleet import workerstate
 
-# A task that keeps failing at once is not restarted faster than this.
-RESTART_PAUSE_S = 0.2
-# A worker forgets and lists at most this many ends in one report.
-ENDS_PER_REPORT = 500
-# An unexpected run is told to stop again when it is still there after this.
-STOP_AGAIN_S = 1.0
-# Marks a filling run of the previous owner, whose share is not known.
+# Minimum delay before a failed long-running task is restarted, so that one
+# that fails at once is not restarted in a tight loop.
+RESTART_DELAY_S = 0.2
+# Maximum number of ended runs in one report; the worker lists others later.
+MAX_ENDS_PER_REPORT = 500
+# An unexpected run that is still reported after this long is ordered to stop
+# again.
+STOP_RETRY_S = 1.0
+# Pace of a best-effort run that a previous owner started: it is not known.
 UNKNOWN_PACE = -1
 
 
-def take(fleet: state_mod.FleetState, worker_id: str,
-         report: messages.WorkerReport, sent: float, now: float) -> bool:
-    """Take in a report; tell if it holds ends not seen before."""
+def apply_report(fleet: state_mod.FleetState, worker_id: str,
+                 report: messages.WorkerReport, sent_at: float,
+                 now: float) -> bool:
+    """Apply a report; return whether it contains new ends of runs.
+
+    The report was requested at sent_at and received now.
+    """
     with fleet.lock:
         worker = fleet.workers.get(worker_id)
         if worker is None:
             return False
-        worker.heard(report.clock_ms, now)
+        worker.sync_clock(report.clock_ms, now)
         worker.reported_at = now
-        worker.obeyed_at = max(worker.obeyed_at, sent)
-        # Without news nothing waits for a round: figures alone, a few
-        # hundred reports a second, change no more than the next tick
-        # takes in, and a round for each left no time for anything else.
-        news = worker.silent or not worker.reported
-        if worker.silent:
+        worker.acknowledged_at = max(worker.acknowledged_at, sent_at)
+        # A report with measurements alone does not trigger a placement round:
+        # the next periodic round takes them in.  With a few hundred reports
+        # per second, a round for each would leave no time for anything else.
+        needs_round = worker.unresponsive or not worker.has_reported
+        if worker.unresponsive:
             events.emit(events.WORKER_REGAINED, worker=worker_id)
-            worker.silent = worker.closed = False
-        if not worker.reported:
-            # The earlier owner may have given leases up to the longest.
-            worker.granted_ms = max(
-                worker.granted_ms, report.clock_ms + min(
+            worker.unresponsive = worker.connection_closed = False
+        if not worker.has_reported:
+            # A previous owner may have granted leases of maximum length.
+            worker.granted_until_ms = max(
+                worker.granted_until_ms, report.clock_ms + min(
                     workerstate.LEASE_MS, fleet.hold_max_ms))
         new_ends = False
         for ended in report.ended:
-            if ended.number > worker.processed:
-                worker.processed = ended.number
+            if ended.number > worker.last_processed_end:
+                worker.last_processed_end = ended.number
                 new_ends = True
-                _ended(fleet, worker, ended, now)
+                _record_end(fleet, worker, ended, now)
         for row in report.running:
-            _running(fleet, worker, row, now)
-        if len(report.ended) < ENDS_PER_REPORT:
-            # A full list may leave out ends of tasks that seem to wait.
-            news |= _missing(fleet, worker, report, sent)
-            worker.reported = True
-            fleet.unheard.pop(worker_id, None)
+            _process_running(fleet, worker, row, now)
+        if len(report.ended) < MAX_ENDS_PER_REPORT:
+            # A full list may omit ends of tasks that seem not to have started.
+            needs_round |= _release_missing(fleet, worker, report, sent_at)
+            worker.has_reported = True
+            fleet.awaited_workers.pop(worker_id, None)
         fleet.pacer.take(worker, report, now)
-        worker.stalls = any(pacer.stalls(task)
-                            for task in worker.tasks.values())
-        worker.touch()
-        if news or new_ends:
-            fleet.notify()
+        worker.has_stalled_run = any(pacer.stalls(task)
+                                     for task in worker.tasks.values())
+        worker.record_change()
+        if needs_round or new_ends:
+            fleet.request_round()
         return new_ends
 
 
-def _ended(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
-           ended: messages.EndedTask, now: float) -> None:
+def _record_end(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
+                ended: messages.EndedTask, now: float) -> None:
     found = fleet.find(ended.task)
     fleet.run_log.add_ended(ended.task, ended.run,
                             worker.entry.worker_id, ended.how)
@@ -72,7 +78,7 @@
         return
     job, task = found
     current = fleet.is_current(worker, task, ended.run)
-    began = task.started if current else 0.0
+    started_at = task.started if current else 0.0
     worker.release((ended.task, ended.run), task.step)
     task.last_run = max(task.last_run, ended.run)
     task.begun = True
@@ -82,27 +88,27 @@
         return
     job.note_ran(task)
     if ended.how == messages.DONE:
-        _done(fleet, job, task, worker, began, now)
+        _record_success(fleet, job, task, worker, started_at, now)
     elif ended.how == messages.FAILED:
-        _failed(fleet, job, task, worker, ended.run, now)
+        _record_failure(fleet, job, task, worker, ended.run, now)
     elif ended.saved:
         task.saved = ended.saved
         job.dirty = True
-    fleet.settle(job)
+    fleet.update_job_state(job)
 
 
-def _done(fleet: state_mod.FleetState, job: progress.JobState,
-          task: progress.TaskState, worker: workerstate.WorkerState,
-          began: float, now: float) -> None:
-    worker.succeeded()
+def _record_success(fleet: state_mod.FleetState, job: progress.JobState,
+                    task: progress.TaskState, worker: workerstate.WorkerState,
+                    started_at: float, now: float) -> None:
+    worker.record_success()
     if task.step.perpetual:
         return
-    if began:
-        task.earlier_s = now - began
-    if demand.is_short(task.step) and began:
-        fleet.demand.add_run(job.job.queue, now - began)
-    place = (task.task.occurrence, task.task.step)
-    members = job.tasks[place] if task.step.gang else [task]
+    if started_at:
+        task.earlier_s = now - started_at
+    if demand.is_short(task.step) and started_at:
+        fleet.demand.add_run(job.job.queue, now - started_at)
+    step_index = (task.task.occurrence, task.task.step)
+    members = job.tasks[step_index] if task.step.gang else [task]
     for member in members:
         member.finish()
         if member is task and member.phase in (progress.STARTING,
@@ -111,25 +117,26 @@
     job.dirty = True
 
 
-def _failed(fleet: state_mod.FleetState, job: progress.JobState,
-            task: progress.TaskState, worker: workerstate.WorkerState,
-            run: int, now: float) -> None:
+def _record_failure(fleet: state_mod.FleetState, job: progress.JobState,
+                    task: progress.TaskState, worker: workerstate.WorkerState,
+                    run: int, now: float) -> None:
     task.avoid.add(worker.entry.worker_id)
-    if worker.failed(now):
+    if worker.record_failure(now):
         events.emit(events.WORKER_AVOIDED, failures=worker.failures,
                     worker=worker.entry.worker_id)
     if task.step.perpetual:
-        task.not_before = now + RESTART_PAUSE_S
+        task.not_before = now + RESTART_DELAY_S
         return
     task.failed_runs.add(run)
     job.dirty = True
 
 
-def _running(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
-             row: messages.RunningTask, now: float) -> None:
+def _process_running(fleet: state_mod.FleetState,
+                     worker: workerstate.WorkerState,
+                     row: messages.RunningTask, now: float) -> None:
     found = fleet.find(row.task)
     if found is None:
-        _unexpected(fleet, worker, row, "no such job", now, None)
+        _stop_unexpected(fleet, worker, row, "no such job", now, None)
         return
     job, task = found
     task.last_run = max(task.last_run, row.run)
@@ -142,23 +149,23 @@
             task.saved = row.saved
         if not task.stuck and slowness.stuck(task, now):
             task.stuck = True
-            _slow(fleet, worker, task, now)
+            _mark_stuck(fleet, worker, task, now)
         if task.phase == progress.STARTING:
-            # Its answer comes later, or not at all.
+            # The response to the start order comes later or was lost.
             task.phase = progress.RUNNING
             task.moved_at = task.started = now
         return
     if job.final() or task.done:
-        _unexpected(fleet, worker, row, "already over", now, task)
+        _stop_unexpected(fleet, worker, row, "already ended", now, task)
     elif task.phase == progress.IDLE:
         _adopt(worker, job, task, row, now)
     else:
-        _unexpected(fleet, worker, row, "runs elsewhere", now, task)
+        _stop_unexpected(fleet, worker, row, "runs elsewhere", now, task)
 
 
-def _slow(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
-          task: progress.TaskState, now: float) -> None:
-    """Avoid a worker on which several tasks make no progress."""
+def _mark_stuck(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
+                task: progress.TaskState, now: float) -> None:
+    """Avoid a worker for a stuck task, and for all if several are stuck."""
     task.avoid.add(worker.entry.worker_id)
     stuck = sum(1 for other in worker.tasks.values() if other.stuck)
     if stuck >= slowness.STUCK_TASKS and worker.avoid_until <= now:
@@ -181,10 +188,11 @@
         task.pace = UNKNOWN_PACE
 
 
-def _unexpected(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
-                row: messages.RunningTask, reason: str, now: float,
-                task: progress.TaskState | None) -> None:
-    if task is not None and now - task.stop_sent < STOP_AGAIN_S:
+def _stop_unexpected(fleet: state_mod.FleetState,
+                     worker: workerstate.WorkerState,
+                     row: messages.RunningTask, reason: str, now: float,
+                     task: progress.TaskState | None) -> None:
+    if task is not None and now - task.stop_sent < STOP_RETRY_S:
         return
     if task is not None:
         task.stop_sent = now
@@ -194,26 +202,28 @@
                messages.StopOrder(row.task, row.run))
 
 
-def _missing(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
-             report: messages.WorkerReport, sent: float) -> bool:
-    """Free runs that neither run nor ended; tell if there were any.
+def _release_missing(fleet: state_mod.FleetState,
+                     worker: workerstate.WorkerState,
+                     report: messages.WorkerReport, sent_at: float) -> bool:
+    """Release runs that a report lists neither as running nor as ended.
 
-    An order without an answer may never have arrived.  It counts as
-    confirmed once its stop was answered; a report asked for after that
-    and without the run shows that it never ran.
+    Return whether there were any.  A start order without a response may
+    never have arrived.  Its run is released only by a report that was
+    requested after the worker had acknowledged the run's start or stop:
+    without the run, such a report shows that it does not run.
     """
-    present = {(row.task, row.run) for row in report.running}
-    freed = False
+    running = {(row.task, row.run) for row in report.running}
+    released = False
     for run, task in list(worker.tasks.items()):
-        if run in present:
+        if run in running:
             continue
         if fleet.is_current(worker, task, run[1]):
             if (task.phase == progress.STARTING
-                    or not 0 < task.moved_at < sent):
+                    or not 0 < task.moved_at < sent_at):
                 continue
             task.idle()
             events.emit(events.RUN_VANISHED, task=str(run[0]),
                         run=run[1], worker=worker.entry.worker_id)
         worker.release(run, task.step)
-        freed = True
-    return freed
+        released = True
+    return released
