--- a/bench/round_cost.py
+++ b/bench/round_cost.py
@@ -41,8 +41,8 @@
     state = state_mod.FleetState(10, HOLD_MAX_MS, lambda *_: None,
                                  fleetfakes.configuration, policy)
     for number in range(workers):
-        capacity = messages.Room(rng.choice((32_000, 32_000, 48_000)),
-                                 128_000, 0)
+        capacity = messages.Resources(rng.choice((32_000, 32_000, 48_000)),
+                                      128_000, 0)
         entry = fleetfakes.entry(number, capacity=capacity)
         state.add_worker(entry)
         reports.take(state, entry.worker_id, messages.WorkerReport(
@@ -55,7 +55,7 @@
     """Return a job whose tasks serve until they are cancelled."""
     cpu = int(min(10_000, max(2000, rng.gauss(6400, 1600))))
     return fleetfakes.job(f"lasting{number}", messages.Step(
-        max(1, int(rng.gauss(14, 5))), messages.Room(cpu, 13_000),
+        max(1, int(rng.gauss(14, 5))), messages.Resources(cpu, 13_000),
         perpetual=True, target_ms=125.0, image=f"s{number % 10}"))
 
 
@@ -63,13 +63,13 @@
     """Return an urgent job of some narrow tasks."""
     cpu = int(min(12_000, max(1000, rng.gauss(4100, 1800))))
     return fleetfakes.job(f"short{number}", messages.Step(
-        max(1, int(rng.lognormvariate(2, 0.8))), messages.Room(cpu, 8200),
+        max(1, int(rng.lognormvariate(2, 0.8))), messages.Resources(cpu, 8200),
         estimate_ms=640))
 
 
 def filling(number: int) -> messages.Job:
     """Return a patient job that runs on what the others leave unused."""
-    step = messages.Step(20, messages.Room(3500, 6400), fills=True,
+    step = messages.Step(20, messages.Resources(3500, 6400), fills=True,
                          image=f"f{number % 18}", estimate_ms=2200)
     return fleetfakes.job(f"filling{number}", step, priority=2,
                           queue="renewals")
--- a/bench/urgent_room.py
+++ b/bench/urgent_room.py
@@ -38,7 +38,7 @@
 def main() -> int:
     """Measure each rate without and with room kept."""
     for per_s in RATES:
-        for policy in (fleetfakes.NO_ROOM_KEPT, policy_mod.Policy()):
+        for policy in (fleetfakes.NO_RESERVED_CAPACITY, policy_mod.Policy()):
             measure(per_s, policy)
     return 0
 
--- a/sycamorefield/fleet/advice.py
+++ b/sycamorefield/fleet/advice.py
@@ -11,8 +11,8 @@
 
 from sycamorefield import events
 from sycamorefield.fleet import clock
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
-from sycamorefield.fleet import surroundings
 
 # Workers named in one call.  The objective of a job leaves time for one call
 # on 30 workers a step.
@@ -44,7 +44,7 @@
 class AdviceBook:
     """Hold what was advised, and ask what placing wants to know."""
 
-    def __init__(self, service: surroundings.AdviceService | None) -> None:
+    def __init__(self, service: interfaces.AdviceService | None) -> None:
         self.service = service
         self.lock = threading.Condition()
         self.tickets: dict[messages.StepId, dict[str, Ticket]] = {}
@@ -104,10 +104,10 @@
         """Ask one question; tell whether it was answered."""
         try:
             if self.service is None:
-                raise surroundings.CallRefused("no advice service is set")
+                raise interfaces.CallRefused("no advice service is set")
             advised = self.service.advise(str(question.step), question.workers,
                                           question.policy)
-        except surroundings.CallFailed as exc:
+        except interfaces.CallFailed as exc:
             events.emit(events.ADVICE_MISSING, step=str(question.step),
                         reason=str(exc))
             return False
--- a/sycamorefield/fleet/answers.py
+++ b/sycamorefield/fleet/answers.py
@@ -1,10 +1,10 @@
 """Take in what became of the orders sent to workers."""
 
 from sycamorefield import events
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import progress
 from sycamorefield.fleet import state as state_mod
-from sycamorefield.fleet import surroundings
 
 # A worker that turned a start away gets none for this long.
 UNHEALTHY_S = 2.0
@@ -34,7 +34,7 @@
             return True
         worker.release((order.task, order.run), task.step)
         if fleet.is_current(worker, task, order.run):
-            task.idle()
+            task.reset_run()
         fleet.notify()
         return False
 
@@ -49,13 +49,13 @@
         worker, task = found
         worker.heard(clock_ms, now)
         worker.start_sent((order.task, order.run))
-        task.begun = True
+        task.start_confirmed = True
         if fleet.is_current(worker, task, order.run):
-            task.moved_at = now
+            task.confirmed_at = now
             if task.phase == progress.STARTING:
                 worker.touch()
                 task.phase = progress.RUNNING
-                task.started = now
+                task.started_at = now
 
 
 def rejected(fleet: state_mod.FleetState, worker_id: str,
@@ -69,19 +69,19 @@
             return
         worker, task = found
         worker.release((order.task, order.run), task.step)
-        if reason == surroundings.NO_ROOM:
+        if reason == interfaces.NO_CAPACITY:
             worker.avoid_until = now + NO_ROOM_S
-        elif reason == surroundings.NO_TICKET:
+        elif reason == interfaces.INVALID_TICKET:
             fleet.advice.drop(task.task.step_id(), worker_id)
-        elif reason == surroundings.UNHEALTHY:
+        elif reason == interfaces.UNHEALTHY:
             worker.avoid_until = now + UNHEALTHY_S
-        elif reason == surroundings.OLD_RUN:
+        elif reason == interfaces.STALE_RUN:
             task.last_run = max(task.last_run,
-                                order.run) + progress.RUN_GAP
+                                order.run) + progress.RUNS_PER_TERM
         else:
             task.not_before = now + UNHEALTHY_S
         if fleet.is_current(worker, task, order.run):
-            task.idle()
+            task.reset_run()
         fleet.notify()
 
 
@@ -105,4 +105,4 @@
     with fleet.lock:
         found = fleet.find_on(worker_id, order.task)
         if found is not None and fleet.is_current(*found, order.run):
-            found[1].moved_at = now
+            found[1].confirmed_at = now
--- a/sycamorefield/fleet/coming.py
+++ b/sycamorefield/fleet/coming.py
@@ -16,15 +16,15 @@
 
     def __init__(self, usable: list[workerstate.WorkerState]) -> None:
         self.usable = usable
-        self.rooms: dict[str, messages.Room] | None = None
+        self.rooms: dict[str, messages.Resources] | None = None
 
-    def by_worker(self) -> dict[str, messages.Room]:
+    def by_worker(self) -> dict[str, messages.Resources]:
         """Return the room of each worker where some is, or is held back."""
         if self.rooms is None:
             self.rooms = {}
             for worker in self.usable:
                 room = _stopping_room(worker)
-                if room != messages.Room() or not worker.takes_starts():
+                if room != messages.Resources() or not worker.takes_starts():
                     self.rooms[worker.entry.worker_id] = room
         return self.rooms
 
@@ -51,15 +51,15 @@
     def started(self, worker: workerstate.WorkerState) -> None:
         """Note a start; if it is the last for now, others wait behind it."""
         if self.rooms is not None and not worker.takes_starts():
-            self.rooms.setdefault(worker.entry.worker_id, messages.Room())
+            self.rooms.setdefault(worker.entry.worker_id, messages.Resources())
 
     def drop(self, worker: workerstate.WorkerState) -> None:
         """Count on nothing that comes on a worker."""
         self.by_worker().pop(worker.entry.worker_id, None)
 
 
-def _stopping_room(worker: workerstate.WorkerState) -> messages.Room:
-    room = messages.Room()
+def _stopping_room(worker: workerstate.WorkerState) -> messages.Resources:
+    room = messages.Resources()
     for run in worker.stopping:
         task = worker.tasks.get(run)
         if task is not None and task.phase == progress.STOPPING:
--- a/sycamorefield/fleet/crashes.py
+++ b/sycamorefield/fleet/crashes.py
@@ -122,7 +122,7 @@
         begun = (name, run) not in worker.unsent | worker.never_began
         if begun and fleet.is_current(worker, task, run):
             # A start without an answer may have been carried out just then.
-            age_s = max(0.0, at - task.started) if task.started else 0.0
+            age_s = max(0.0, at - task.started_at) if task.started_at else 0.0
             found.append(Exposed(task, run, age_s))
     if worker.reported:
         return found
--- a/sycamorefield/fleet/gaps.py
+++ b/sycamorefield/fleet/gaps.py
@@ -23,9 +23,9 @@
     """
 
     worker: workerstate.WorkerState
-    left: messages.Room
-    soon: messages.Room
-    late: messages.Room
+    left: messages.Resources
+    soon: messages.Resources
+    late: messages.Resources
     claims: collections.Counter[messages.StepId] = dataclasses.field(
         default_factory=collections.Counter)
 
--- a/sycamorefield/fleet/headroom.py
+++ b/sycamorefield/fleet/headroom.py
@@ -35,7 +35,7 @@
 def placed(tasks: list[progress.TaskState]) -> int:
     """Return how many tasks of a lasting step run or ran."""
     return sum(1 for task in tasks
-               if task.ran or task.phase != progress.IDLE)
+               if task.has_run or task.phase != progress.IDLE)
 
 
 def part(task: progress.TaskState, already_placed: int,
@@ -45,7 +45,7 @@
     Without spreading, all tasks of a job leave as much as its last one.
     """
     step = task.step
-    if not step.perpetual or step.gang or task.ran:
+    if not step.perpetual or step.gang or task.has_run:
         return Part.ANY_ROOM
     if not spread:
         return Part.REST
--- a/sycamorefield/fleet/inbox.py
+++ b/sycamorefield/fleet/inbox.py
@@ -3,11 +3,11 @@
 import threading
 
 from sycamorefield import events
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import progress
 from sycamorefield.fleet import records
 from sycamorefield.fleet import state as state_mod
-from sycamorefield.fleet import surroundings
 
 WATCH_MS = 2000
 RETRY_PAUSE_S = 0.1
@@ -16,7 +16,7 @@
 class Inbox:
     """Take up what is stored under the jobs' keys until told it is over."""
 
-    def __init__(self, store: surroundings.Store,
+    def __init__(self, store: interfaces.Store,
                  fleet: state_mod.FleetState, over: threading.Event) -> None:
         self.store = store
         self.fleet = fleet
@@ -43,9 +43,9 @@
                 self._take_job(change.item)
                 self.take_cancel(change.key)
             return max([after] + [c.revision for c in found.changes])
-        except surroundings.HistoryGone:
+        except interfaces.HistoryCompacted:
             return self._reread(after)
-        except surroundings.CallFailed as exc:
+        except interfaces.CallFailed as exc:
             events.emit(events.STORE_LOST, reason=f"inbox: {exc}")
             self.over.wait(RETRY_PAUSE_S)
             return self._reread(after)
@@ -54,7 +54,7 @@
         """Read all jobs again: a watch that was cut may have gone deaf."""
         try:
             listing = self.store.listing(records.JOB_PREFIX)
-        except surroundings.CallFailed as exc:
+        except interfaces.CallFailed as exc:
             events.emit(events.STORE_LOST, reason=f"inbox: {exc}")
             self.over.wait(RETRY_PAUSE_S)
             return after
--- a/sycamorefield/fleet/intake.py
+++ b/sycamorefield/fleet/intake.py
@@ -10,10 +10,10 @@
 
 from sycamorefield import events
 from sycamorefield.fleet import clock
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import progress
 from sycamorefield.fleet import records
-from sycamorefield.fleet import surroundings
 
 # Refusals of the store (nothing done) are tried again this often before the
 # caller is told to come back: a single 429 is over in milliseconds.
@@ -70,7 +70,7 @@
 class Intake:
     """Serve callers' requests about jobs."""
 
-    def __init__(self, store: surroundings.Store,
+    def __init__(self, store: interfaces.Store,
                  store_silent: typing.Callable[[], bool]) -> None:
         self.store = store
         # Whether the store has not answered this VM for some time.
@@ -105,7 +105,7 @@
         try:
             if not self._exists(job_id):
                 return Unknown()
-        except surroundings.CallFailed as exc:
+        except interfaces.CallFailed as exc:
             return Refused(str(exc))
         outcome = self._create(records.cancel_key(job_id), b"1", deadline)
         if isinstance(outcome, Accepted):
@@ -134,13 +134,13 @@
                 self.store.commit(transaction)
                 self.store_suspect = False
                 return Accepted()
-            except surroundings.Conflict:
+            except interfaces.Conflict:
                 return Accepted()
-            except surroundings.CallRefused as exc:
+            except interfaces.CallRefused as exc:
                 reason = str(exc)
                 if tries >= REFUSED_TRIES:
                     break
-            except surroundings.CallFailed as exc:
+            except interfaces.CallFailed as exc:
                 uncertain = self.store_suspect = True
                 _keep(self.uncertain, key)
                 unanswered += 1
@@ -160,7 +160,7 @@
         """
         try:
             item = self._read(key)
-        except surroundings.CallFailed as exc:
+        except interfaces.CallFailed as exc:
             if key in self.uncertain:
                 return Uncertain(f"store: {exc}")
             return Refused(f"store: {exc}")
@@ -171,13 +171,13 @@
         """Return what is known of a job, or None; raises CallFailed."""
         item = self._read(records.progress_key(job_id))
         if item is not None:
-            return Shown(progress.state_of(item.value),
-                         progress.reason_of(item.value))
+            return Shown(progress.decode_state(item.value),
+                         progress.decode_failure_reason(item.value))
         return Shown(messages.PENDING) if self._exists(job_id) else None
 
     def waiting(self, queue: str) -> int:
         """Return how many jobs of a queue wait; raises CallFailed."""
-        item = self._read(records.WAITING_KEY)
+        item = self._read(records.WAITING_JOBS_KEY)
         if item is None:
             return 0
         return int(records.decode_mapping(item.value).get(queue, 0))
@@ -189,7 +189,7 @@
         back later or through another VM.
         """
         if self.store_silent():
-            raise surroundings.CallRefused("store does not answer")
+            raise interfaces.CallRefused("store does not answer")
         return self.store.get(key)
 
     def _exists(self, job_id: str) -> bool:
--- a/sycamorefield/fleet/surroundings.py
+++ b/sycamorefield/fleet/interfaces.py
@@ -13,7 +13,7 @@
     """Say that a call was turned away and nothing was done."""
 
 
-class NobodyListens(CallRefused):
+class ConnectionRefused(CallRefused):
     """Say that the address has no listener: its process has ended.
 
     A process that is cut off or has no power does not answer at all.
@@ -34,7 +34,7 @@
         super().__init__("precondition failed")
         self.items = items
 
-    def at(self, key: str) -> messages.Item | None:
+    def item_for(self, key: str) -> messages.Item | None:
         """Return the item that stands under a key."""
         return next((item for item in self.items if item.key == key), None)
 
@@ -43,7 +43,7 @@
     """Say that a lease has ended."""
 
 
-class HistoryGone(Exception):
+class HistoryCompacted(Exception):
     """Say that changes since a revision are no longer known."""
 
 
@@ -56,15 +56,15 @@
 
 
 FENCED = "fence"
-OLD_RUN = "old"
+STALE_RUN = "old"
 LATE = "late"
-NO_ROOM = "room"
-NO_TICKET = "ticket"
+NO_CAPACITY = "room"
+INVALID_TICKET = "ticket"
 UNHEALTHY = "unhealthy"
 MALFORMED = "malformed"
 
 
-class OtherIncarnation(Exception):
+class IncarnationMismatch(Exception):
     """Say that another incarnation of the worker answered."""
 
 
--- a/sycamorefield/fleet/link.py
+++ b/sycamorefield/fleet/link.py
@@ -9,10 +9,10 @@
 from sycamorefield.fleet import answers
 from sycamorefield.fleet import clock
 from sycamorefield.fleet import crashes
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import reports
 from sycamorefield.fleet import state as state_mod
-from sycamorefield.fleet import surroundings
 from sycamorefield.fleet import usage
 from sycamorefield.fleet import workerstate
 from sycamorefield import metrics
@@ -71,7 +71,7 @@
     """Hold the two tasks that speak to one worker."""
 
     def __init__(self, entry: messages.WorkerEntry,
-                 worker: surroundings.Worker, fleet: state_mod.FleetState,
+                 worker: interfaces.Worker, fleet: state_mod.FleetState,
                  may_act: MayAct, may_lease: MayAct,
                  deposed: typing.Callable[[str], None]) -> None:
         self.worker_id = entry.worker_id
@@ -161,19 +161,19 @@
                 report = self.worker.renew(
                     self.fleet.fence, self.recorded_upto, self._until(),
                     self._wait_ms())
-            except surroundings.OtherIncarnation:
+            except interfaces.IncarnationMismatch:
                 crashes.worker_reborn(self.fleet, self.worker_id)
                 return
-            except surroundings.OrderRejected as exc:
+            except interfaces.OrderRejected as exc:
                 if self._fenced(exc):
                     return
                 self._failed(exc)
                 continue
-            except surroundings.NobodyListens as exc:
+            except interfaces.ConnectionRefused as exc:
                 if self._nobody_listens(exc):
                     return
                 continue
-            except surroundings.CallFailed as exc:
+            except interfaces.CallFailed as exc:
                 self._failed(exc)
                 continue
             if self.closed:
@@ -186,7 +186,7 @@
             if new_ends or report.ended:
                 self.recorded.wait(RECORD_WAIT_S)
 
-    def _nobody_listens(self, exc: surroundings.NobodyListens) -> bool:
+    def _nobody_listens(self, exc: interfaces.ConnectionRefused) -> bool:
         """Note a refused connection; tell if the worker has ended.
 
         Its tasks then run elsewhere within half a second instead of when its
@@ -200,9 +200,9 @@
         self._failed(exc)
         return False
 
-    def _fenced(self, exc: surroundings.OrderRejected) -> bool:
+    def _fenced(self, exc: interfaces.OrderRejected) -> bool:
         """Step down if a rejection shows that there is a successor."""
-        if exc.reason != surroundings.FENCED:
+        if exc.reason != interfaces.FENCED:
             return False
         self.deposed(f"fenced by worker {self.worker_id}")
         return True
@@ -210,7 +210,7 @@
     def _failed(self, exc: Exception) -> None:
         self.fleet.worker_silent(
             self.worker_id, str(exc),
-            isinstance(exc, surroundings.ConnectionClosed))
+            isinstance(exc, interfaces.ConnectionClosed))
         threading.Event().wait(RETRY_PAUSE_S)
 
     def _orders(self) -> None:
@@ -220,7 +220,7 @@
                 return
             try:
                 self._send(order)
-            except surroundings.OtherIncarnation:
+            except interfaces.IncarnationMismatch:
                 crashes.worker_reborn(self.fleet, self.worker_id)
                 return
 
@@ -253,12 +253,12 @@
                 answers.started(self.fleet, self.worker_id, order, clock_ms,
                                 clock.now())
                 return
-            except surroundings.OrderRejected as exc:
+            except interfaces.OrderRejected as exc:
                 if not self._fenced(exc):
                     self._rejected(order, exc.reason, attempt)
                 return
-            except surroundings.CallFailed as exc:
-                never_began &= isinstance(exc, surroundings.NobodyListens)
+            except interfaces.CallFailed as exc:
+                never_began &= isinstance(exc, interfaces.ConnectionRefused)
                 events.emit(events.RUN_UNCERTAIN, task=str(order.task),
                             run=order.run, worker=self.worker_id,
                             reason=str(exc))
@@ -285,11 +285,11 @@
         try:
             self.worker.stop(order, self.fleet.fence)
             answers.stopped(self.fleet, self.worker_id, order, clock.now())
-        except surroundings.OrderRejected as exc:
+        except interfaces.OrderRejected as exc:
             if not self._fenced(exc):
                 self._failed(exc)
                 self.orders.put_behind(order)
-        except surroundings.CallFailed as exc:
+        except interfaces.CallFailed as exc:
             self._failed(exc)
             self.orders.put_behind(order)
 
@@ -298,9 +298,9 @@
             return
         try:
             self.worker.pace(order, self.fleet.fence)
-        except surroundings.OrderRejected as exc:
+        except interfaces.OrderRejected as exc:
             self._fenced(exc)
-        except surroundings.CallFailed:
+        except interfaces.CallFailed:
             # The next report shows whether the tail came down; the pace is
             # sent again with the next change.
             events.emit(events.RUN_UNCERTAIN, task=str(order.task),
--- a/sycamorefield/fleet/messages.py
+++ b/sycamorefield/fleet/messages.py
@@ -5,24 +5,24 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Room:
+class Resources:
     """Processors (thousandths of a core), memory (MB) and accelerators."""
 
     cpu: int = 0
     mem_mb: int = 0
     gpu: int = 0
 
-    def plus(self, other: "Room") -> "Room":
+    def plus(self, other: "Resources") -> "Resources":
         """Return the sum of both."""
-        return Room(self.cpu + other.cpu, self.mem_mb + other.mem_mb,
-                    self.gpu + other.gpu)
+        return Resources(self.cpu + other.cpu, self.mem_mb + other.mem_mb,
+                         self.gpu + other.gpu)
 
-    def minus(self, other: "Room") -> "Room":
+    def minus(self, other: "Resources") -> "Resources":
         """Return what is left after other is taken away."""
-        return Room(self.cpu - other.cpu, self.mem_mb - other.mem_mb,
-                    self.gpu - other.gpu)
+        return Resources(self.cpu - other.cpu, self.mem_mb - other.mem_mb,
+                         self.gpu - other.gpu)
 
-    def holds(self, other: "Room") -> bool:
+    def holds(self, other: "Resources") -> bool:
         """Tell whether other fits."""
         return (other.cpu <= self.cpu and other.mem_mb <= self.mem_mb
                 and other.gpu <= self.gpu)
@@ -33,7 +33,7 @@
     """One step of a job: a number of equal tasks and where they may run."""
 
     count: int
-    room: Room = Room()
+    room: Resources = Resources()
     estimate_ms: int = 0
     after: tuple[int, ...] = ()
     gang: bool = False
@@ -49,14 +49,14 @@
     target_ms: float = 0.0
     may_miss: int = 0
 
-    def reserved(self) -> Room:
+    def reserved(self) -> Resources:
         """Return the room a task takes from its worker.
 
         The processors of a task that fills are not reserved: it runs on what
         the others leave unused.
         """
         if self.fills:
-            return Room(0, self.room.mem_mb, self.room.gpu)
+            return Resources(0, self.room.mem_mb, self.room.gpu)
         return self.room
 
 
@@ -123,7 +123,7 @@
     address: str
     data_centre: str
     draining: bool
-    capacity: Room
+    capacity: Resources
     labels: tuple[str, ...]
     remaining_ms: float | None = None
 
@@ -248,11 +248,11 @@
                 return queue
         return None
 
-    def named(self, name: str) -> Queue | None:
+    def find_queue(self, name: str) -> Queue | None:
         """Return the queue of a name."""
-        return self.by_name().get(name)
+        return self.queues_by_name().get(name)
 
-    def by_name(self) -> dict[str, Queue]:
+    def queues_by_name(self) -> dict[str, Queue]:
         """Return the queues by name."""
         return {queue.name: queue for queue in self.queues}
 
--- a/sycamorefield/fleet/operatorview.py
+++ b/sycamorefield/fleet/operatorview.py
@@ -5,9 +5,9 @@
 
 from sycamorefield import events
 from sycamorefield.fleet import clock
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import records
-from sycamorefield.fleet import surroundings
 
 # A watch may go deaf before it is cut.  The list is read again, linearizably,
 # after each cut, so a change is seen at most this long after it was made.
@@ -20,7 +20,7 @@
 class OperatorView:
     """Hold the newest configuration and the owner's key, as last seen."""
 
-    def __init__(self, store: surroundings.Store, config_key: str,
+    def __init__(self, store: interfaces.Store, config_key: str,
                  decode: Decode) -> None:
         self.store = store
         self.config_key = config_key
@@ -46,9 +46,9 @@
         while not self.stopped.is_set():
             try:
                 self._follow(self._read())
-            except surroundings.HistoryGone:
+            except interfaces.HistoryCompacted:
                 continue
-            except surroundings.CallFailed as exc:
+            except interfaces.CallFailed as exc:
                 self._lost(str(exc))
                 self.stopped.wait(RETRY_PAUSE_S)
 
--- a/sycamorefield/fleet/ordering.py
+++ b/sycamorefield/fleet/ordering.py
@@ -29,14 +29,14 @@
 def rank(state: progress.JobState, queue: messages.Queue | None,
          wall_ms: float, now: float) -> int:
     """Return where a job stands among those of its priority."""
-    if not state.lasting:
+    if not state.long_running:
         return lateness(state, queue, wall_ms)
     return INTERRUPTED if interrupted(state, now) else LASTING
 
 
 def interrupted(state: progress.JobState, now: float) -> bool:
     """Tell whether a task of a lasting job has been down for seconds."""
-    return state.down_for(now) >= DOWN_S
+    return state.downtime_s(now) >= DOWN_S
 
 
 def lateness(state: progress.JobState, queue: messages.Queue | None,
@@ -45,9 +45,9 @@
     job = state.job
     if queue is None:
         return IN_TIME
-    allowed = queue.stretch * state.chain_ms + queue.slo_ms
+    allowed = queue.stretch * state.critical_path_ms + queue.slo_ms
     begun = max(job.accepted_ms, job.due_ms(0))
-    needed = wall_ms - begun + HOPE * state.chain_left_ms()
+    needed = wall_ms - begun + HOPE * state.remaining_critical_path_ms()
     if needed <= allowed:
         return IN_TIME
     return LATE if needed <= LATE_FACTOR * allowed else TOO_LATE
--- a/sycamorefield/fleet/owner.py
+++ b/sycamorefield/fleet/owner.py
@@ -8,6 +8,7 @@
 from sycamorefield import events
 from sycamorefield.fleet import clock
 from sycamorefield.fleet import inbox as inbox_mod
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import policy as policy_mod
 from sycamorefield.fleet import recorder as recorder_mod
@@ -16,7 +17,6 @@
 from sycamorefield.fleet import roster as roster_mod
 from sycamorefield.fleet import rounds
 from sycamorefield.fleet import state as state_mod
-from sycamorefield.fleet import surroundings
 from sycamorefield.fleet import usage as usage_mod
 
 # How often the use of the fleet is logged.
@@ -45,12 +45,12 @@
 class Owner:
     """Hold the tasks of an owner: inbox, roster, placing, recording."""
 
-    def __init__(self, store: surroundings.Store,
-                 worker_list: surroundings.WorkerList,
+    def __init__(self, store: interfaces.Store,
+                 worker_list: interfaces.WorkerList,
                  connect: roster_mod.WorkerFactory,
                  configuration: typing.Callable[[], messages.Configuration],
                  fence: int, hold_max_ms: float,
-                 advice: surroundings.AdviceService | None = None,
+                 advice: interfaces.AdviceService | None = None,
                  policy: policy_mod.Policy = policy_mod.Policy()) -> None:
         self.worker_list = worker_list
         self.fence = fence
@@ -69,7 +69,7 @@
             store, self.fleet, records.OWNER_KEY, self.may_act,
             self.step_down, self._seen)
         self.roster = roster_mod.Roster(
-            self.fleet, connect, lambda: self.recorder.addresses,
+            self.fleet, connect, lambda: self.recorder.stored_addresses,
             self.may_act, self.may_lease, self.step_down)
         self.inbox = inbox_mod.Inbox(store, self.fleet, self.over)
         self.recovery = recovery_mod.Recovery(
@@ -186,7 +186,7 @@
         while self.may_act():
             try:
                 return self.recovery.load()
-            except surroundings.CallFailed as exc:
+            except interfaces.CallFailed as exc:
                 events.emit(events.STORE_LOST, reason=str(exc))
                 self.over.wait(RETRY_PAUSE_S)
         return None
@@ -200,7 +200,7 @@
             began = clock.now()
             try:
                 self.roster.take_entries(self.worker_list.workers(), began)
-            except surroundings.CallFailed as exc:
+            except interfaces.CallFailed as exc:
                 events.emit(events.STORE_LOST, reason=f"workers: {exc}")
                 # With an old list nothing may be started.
                 pause_s = ROSTER_RETRY_S
--- a/sycamorefield/fleet/ownership.py
+++ b/sycamorefield/fleet/ownership.py
@@ -7,11 +7,11 @@
 
 from sycamorefield import events
 from sycamorefield.fleet import clock
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import operatorview
 from sycamorefield.fleet import owner as owner_mod
 from sycamorefield.fleet import records
-from sycamorefield.fleet import surroundings
 
 LEASE_TTL_MS = int(owner_mod.OWN_LEASE_S * 1000)
 RENEW_PERIOD_S = 0.5
@@ -40,7 +40,7 @@
 class Ownership:
     """Claim the owner's key when it is free and run an Owner meanwhile."""
 
-    def __init__(self, store: surroundings.Store,
+    def __init__(self, store: interfaces.Store,
                  view: operatorview.OperatorView, name: str,
                  make_owner: OwnerFactory, patience: float = 0.0) -> None:
         self.store = store
@@ -62,7 +62,7 @@
                 return
             try:
                 fence = self._claim()
-            except surroundings.CallFailed as exc:
+            except interfaces.CallFailed as exc:
                 events.emit(events.STORE_LOST, reason=f"claim: {exc}")
                 self.stopped.wait(RETRY_PAUSE_S)
                 continue
@@ -101,10 +101,10 @@
             fence = self.store.commit(messages.Transaction(
                 (messages.Expect(records.OWNER_KEY, revision),),
                 (messages.Put(records.OWNER_KEY, self.value, self.lease),)))
-        except surroundings.Conflict as exc:
-            self.view.owner_read(exc.at(records.OWNER_KEY))
+        except interfaces.Conflict as exc:
+            self.view.owner_read(exc.item_for(records.OWNER_KEY))
             return 0
-        except surroundings.LeaseEnded:
+        except interfaces.LeaseEnded:
             # The grant took longer than the lease; the next try asks anew.
             return 0
         events.emit(events.OWNERSHIP_CLAIMED, fence=fence, replaced=revision)
@@ -143,9 +143,9 @@
             try:
                 self.store.renew(self.lease)
                 owner.lease_renewed(sent)
-            except surroundings.LeaseEnded:
+            except interfaces.LeaseEnded:
                 owner.step_down("lease ended")
-            except surroundings.CallFailed as exc:
+            except interfaces.CallFailed as exc:
                 events.emit(events.STORE_LOST, reason=f"renewal: {exc}")
 
     def _check(self, owner: owner_mod.Owner) -> None:
@@ -169,7 +169,7 @@
         """Read the key itself: the watch may be older than the claim."""
         try:
             item = self.store.get(records.OWNER_KEY)
-        except surroundings.CallFailed as exc:
+        except interfaces.CallFailed as exc:
             events.emit(events.STORE_LOST, reason=f"owner's key: {exc}")
             return False
         self.view.owner_read(item)
@@ -185,8 +185,8 @@
                 (messages.Expect(records.OWNER_KEY, fence),), (),
                 (records.OWNER_KEY,)))
             events.emit(events.OWNERSHIP_RELEASED, fence=fence)
-        except (surroundings.CallFailed, surroundings.Conflict,
-                surroundings.LeaseEnded) as exc:
+        except (interfaces.CallFailed, interfaces.Conflict,
+                interfaces.LeaseEnded) as exc:
             events.emit(events.STORE_LOST, reason=f"release: {exc}")
 
     def stop(self) -> None:
--- a/sycamorefield/fleet/pacer.py
+++ b/sycamorefield/fleet/pacer.py
@@ -21,7 +21,7 @@
 def stalls(task: progress.TaskState) -> bool:
     """Tell whether a run makes so little progress that it should move."""
     return task.stuck or (task.step.fills
-                          and 0 <= task.pace <= STALLED_PACE)
+                          and 0 <= task.pace_percent <= STALLED_PACE)
 
 
 class Pacer:
@@ -61,7 +61,7 @@
         shares = pacing.paces(
             worker.tails,
             [pacing.Paced(task.step.image, task.step.room.cpu / 1000.0,
-                          row.figure / 1000.0, task.pace)
+                          row.figure / 1000.0, task.pace_percent)
              for row, task in filling],
             worker.over_reports, may_ease, self.learnt)
         self._send_paces(worker, [task for _, task in filling], shares, now)
@@ -82,15 +82,15 @@
                     now: float) -> None:
         changes = []
         for task, share in zip(tasks, shares):
-            if task.pace == share or share < 0:
+            if task.pace_percent == share or share < 0:
                 continue
-            if share > task.pace:
+            if share > task.pace_percent:
                 worker.eased_at = now
             changes.append((str(task.task), task.run, task.step.image,
-                            share, task.pace))
-            if share <= STALLED_PACE < task.pace:
+                            share, task.pace_percent))
+            if share <= STALLED_PACE < task.pace_percent:
                 task.slowed_at = now
-            task.pace = share
+            task.pace_percent = share
             self.send(worker.entry.worker_id,
                       messages.PaceOrder(task.task, task.run, share))
         if changes:
--- a/sycamorefield/fleet/placing.py
+++ b/sycamorefield/fleet/placing.py
@@ -93,7 +93,7 @@
     if not allowed(worker, service, task) or not fits(worker, step, learnt):
         return None
     near = not step.affinity or step.affinity in worker.entry.labels
-    fresh = worker.entry.worker_id not in task.avoid
+    fresh = worker.entry.worker_id not in task.avoided_workers
     return (fresh, near, *_room_rank(worker, step, learnt))
 
 
@@ -194,7 +194,7 @@
                   and priority_of(t) > priority]
     if need.cpu > free.cpu and all(t.step.fills for t in candidates):
         return []
-    candidates.sort(key=lambda t: (t.step.checkpoint, t.started),
+    candidates.sort(key=lambda t: (t.step.checkpoint, t.started_at),
                     reverse=True)
     chosen: list[progress.TaskState] = []
     for task in candidates:
--- a/sycamorefield/fleet/progress.py
+++ b/sycamorefield/fleet/progress.py
@@ -15,19 +15,20 @@
 # A new owner may not know of runs that its predecessors ordered.  Runs of jobs
 # that it took over are numbered from its fence times this: above those of
 # every earlier term, whose fences are lower.
-RUN_GAP = 1000
+RUNS_PER_TERM = 1000
 
-Place = tuple[int, int]
+StepIndex = tuple[int, int]
 
 
 class TaskState:
     """Follow one task: where it runs, what ended, what to resume from."""
 
     __slots__ = ("task", "step", "done", "failed_runs", "last_run", "saved",
-                 "phase", "run", "worker_id", "not_before", "avoid",
-                 "started", "percent", "moved_at", "pace", "slowed_at",
-                 "stop_sent", "stuck", "ran", "begun", "job",
-                 "projected_s", "earlier_s", "suspicion")
+                 "phase", "run", "worker_id", "not_before", "avoided_workers",
+                 "started_at", "percent", "confirmed_at", "pace_percent",
+                 "slowed_at", "stop_sent_at", "stuck", "has_run",
+                 "start_confirmed", "job", "projected_run_s",
+                 "previous_run_s", "suspicion")
 
     def __init__(self, task: messages.TaskId, step: messages.Step,
                  job: "JobState | None" = None) -> None:
@@ -42,22 +43,22 @@
         self.run = 0
         self.worker_id = ""
         self.not_before = 0.0
-        self.avoid: set[str] = set()
-        self.started = 0.0
+        self.avoided_workers: set[str] = set()
+        self.started_at = 0.0
         self.percent = 0
-        self.moved_at = 0.0
-        self.pace = 100
+        self.confirmed_at = 0.0
+        self.pace_percent = 100
         self.slowed_at = 0.0
-        self.stop_sent = 0.0
+        self.stop_sent_at = 0.0
         self.stuck = False
         # Whether a lasting task was ever started.
-        self.ran = False
+        self.has_run = False
         # Whether a worker is known to have begun a run of it.
-        self.begun = False
+        self.start_confirmed = False
         # Seconds that the current run takes from start to end by its progress
         # so far, and that the run before took or would have; 0 if not known.
-        self.projected_s = 0.0
-        self.earlier_s = 0.0
+        self.projected_run_s = 0.0
+        self.previous_run_s = 0.0
         # What crashes of workers under it tell, if there were any.
         self.suspicion: suspicion.Suspicion | None = None
 
@@ -65,33 +66,33 @@
         """Tell whether its next run must show if it crashes its worker."""
         return self.suspicion is not None and self.suspicion.needs_trial()
 
-    def advance(self, percent: int, now: float) -> None:
+    def update_progress(self, percent: int, now: float) -> None:
         """Note how far the current run has come."""
         self.percent = percent
-        if percent and self.started:
-            self.projected_s = (now - self.started) * 100.0 / percent
+        if percent and self.started_at:
+            self.projected_run_s = (now - self.started_at) * 100.0 / percent
 
-    def idle(self) -> None:
+    def reset_run(self) -> None:
         """Forget the current run; the task may be started again."""
         self.phase = IDLE
         self.run = 0
         self.worker_id = ""
         self.percent = 0
-        self.pace = 100
+        self.pace_percent = 100
         self.stuck = False
-        self.earlier_s = self.projected_s or self.earlier_s
-        self.projected_s = 0.0
+        self.previous_run_s = self.projected_run_s or self.previous_run_s
+        self.projected_run_s = 0.0
         if self.job is not None:
-            self.job.quiet = False
+            self.job.skip_rounds = False
 
-    def finish(self) -> None:
+    def mark_done(self) -> None:
         """Note that a run has ended as done."""
         self.done = True
         self.saved = ""
         if self.job is not None:
             self.job.done_tasks += 1
             # The next step may be ready now.
-            self.job.quiet = False
+            self.job.skip_rounds = False
 
 
 class JobState:
@@ -106,75 +107,76 @@
         # Why it failed, for its caller.
         self.reason = ""
         # The workers set aside for suspected tasks of it, and as stored.
-        self.on_trial: dict[messages.TaskId, str] = {}
-        self.stored_trials: dict[messages.TaskId, str] = {}
+        self.quarantine_workers: dict[messages.TaskId, str] = {}
+        self.stored_quarantine_workers: dict[messages.TaskId, str] = {}
         self.dirty = False
-        self.tasks: dict[Place, list[TaskState]] = {}
+        self.tasks: dict[StepIndex, list[TaskState]] = {}
         # Steps seen to be done; that stays, and every round asks for it.
-        self.done_places: set[Place] = set()
+        self.done_steps: set[StepIndex] = set()
         self.run_base = 0
         # When this process learnt that the job is stored.
         self.known_at = 0.0
         # When a round first found a step whose turn had come, or 0.
-        self.seen_at = 0.0
+        self.first_ready_at = 0.0
         # Since when a lasting task that ran is down, or 0.
         self.down_since = 0.0
         # How many tasks have ended as done, and how many had when the chain
         # left was worked out last.
         self.done_tasks = 0
-        self.chain_left_of = -1
-        self.chain_left = 0.0
+        self.cached_done_tasks = -1
+        self.cached_remaining_ms = 0.0
         # Whether rounds may pass over it: nothing of it waits for a worker.
-        self.quiet = False
-        self.lasting = any(step.perpetual for step in job.steps)
+        self.skip_rounds = False
+        self.long_running = any(step.perpetual for step in job.steps)
         # The estimated longest chain of all steps; asked for in each round.
-        self.chain_ms = self._longest_chain([step.estimate_ms
-                                             for step in job.steps])
+        self.critical_path_ms = self._longest_path_ms([step.estimate_ms
+                                                       for step in job.steps])
 
-    def chain_left_ms(self) -> float:
+    def remaining_critical_path_ms(self) -> float:
         """Return the estimated longest chain of steps not done yet."""
-        if self.done_tasks != self.chain_left_of:
-            self.chain_left_of = self.done_tasks
-            self.chain_left = self._longest_chain([
-                0.0 if all(self.step_done(k, number)
-                           for k in range(self.job.occurrences()))
+        if self.done_tasks != self.cached_done_tasks:
+            self.cached_done_tasks = self.done_tasks
+            self.cached_remaining_ms = self._longest_path_ms([
+                0.0 if all(self.step_done(occurrence, index)
+                           for occurrence in range(self.job.occurrences()))
                 else step.estimate_ms
-                for number, step in enumerate(self.job.steps)])
-        return self.chain_left
+                for index, step in enumerate(self.job.steps)])
+        return self.cached_remaining_ms
 
-    def _longest_chain(self, durations_ms: typing.Sequence[float]) -> float:
-        ends: list[float] = []
+    def _longest_path_ms(self, durations_ms: typing.Sequence[float]) -> float:
+        finish_ms: list[float] = []
         for step, duration_ms in zip(self.job.steps, durations_ms):
-            begin = max((ends[earlier] for earlier in step.after),
-                        default=0.0)
-            ends.append(begin + duration_ms)
-        return max(ends)
+            start_ms = max((finish_ms[earlier] for earlier in step.after),
+                           default=0.0)
+            finish_ms.append(start_ms + duration_ms)
+        return max(finish_ms)
 
-    def occurrence(self, number: int) -> None:
+    def create_tasks(self, occurrence: int) -> None:
         """Create the tasks of an occurrence unless they are there."""
         for index, step in enumerate(self.job.steps):
-            if (number, index) in self.tasks:
+            if (occurrence, index) in self.tasks:
                 continue
-            self.tasks[number, index] = [
-                TaskState(messages.TaskId(self.job.job_id, number, index, i),
-                          step, self) for i in range(step.count)]
+            self.tasks[occurrence, index] = [
+                TaskState(messages.TaskId(
+                    self.job.job_id, occurrence, index, number), step, self)
+                for number in range(step.count)]
 
     def find(self, task: messages.TaskId) -> TaskState | None:
         """Return a task's state, or None if the job has no such task."""
         if not (0 <= task.step < len(self.job.steps)
                 and 0 <= task.occurrence < self.job.occurrences()):
             return None
-        self.occurrence(task.occurrence)
+        self.create_tasks(task.occurrence)
         states = self.tasks[task.occurrence, task.step]
         return states[task.number] if 0 <= task.number < len(states) else None
 
-    def down_for(self, now: float) -> float:
+    def downtime_s(self, now: float) -> float:
         """Return for how many seconds a lasting task that ran is down.
 
         An order alone ends nothing: its start may be rejected or taken back,
         and the time must not begin anew then.
         """
-        down = any(task.phase in (IDLE, STARTING) and task.ran
+        down = any(task.phase in (IDLE, STARTING) and task.has_run
                    for task in self.all_tasks())
         if not down:
             self.down_since = 0.0
@@ -189,13 +191,13 @@
 
     def step_done(self, occurrence: int, step: int) -> bool:
         """Tell whether all tasks of a step have ended as done."""
-        place = (occurrence, step)
-        if place in self.done_places:
+        step_index = (occurrence, step)
+        if step_index in self.done_steps:
             return True
-        states = self.tasks.get(place)
+        states = self.tasks.get(step_index)
         done = states is not None and all(t.done for t in states)
         if done:
-            self.done_places.add(place)
+            self.done_steps.add(step_index)
         return done
 
     def step_ready(self, occurrence: int, step: int) -> bool:
@@ -207,16 +209,16 @@
         """Tell whether nothing of the job will be started any more."""
         return self.state in messages.FINAL_STATES
 
-    def note_ran(self, task: TaskState) -> None:
+    def mark_has_run(self, task: TaskState) -> None:
         """Note that a task runs or ran; successors must know of lasting ones.
 
         A lasting task that is down goes before all others, and one that never
         ran waits while room is kept for short work.
         """
-        if task.step.perpetual and not task.ran:
-            task.ran = self.dirty = True
+        if task.step.perpetual and not task.has_run:
+            task.has_run = self.dirty = True
 
-    def next_run(self, state: TaskState) -> int:
+    def next_run_number(self, state: TaskState) -> int:
         """Return a run number above every one the task may have had."""
         return max(state.last_run, self.run_base) + 1
 
@@ -226,22 +228,22 @@
             return False
         if self.cancelled:
             self.state = messages.CANCELLED
-        elif reason := self._failure():
+        elif reason := self._failure_reason():
             self.state = messages.JOB_FAILED
             self.reason = reason
-        elif self._complete():
+        elif self._all_done():
             self.state = messages.COMPLETED
         else:
             return False
         self.dirty = True
         return True
 
-    def _complete(self) -> bool:
-        return all(self.step_done(k, s)
-                   for k in range(self.job.occurrences())
-                   for s in range(len(self.job.steps)))
+    def _all_done(self) -> bool:
+        return all(self.step_done(occurrence, step)
+                   for occurrence in range(self.job.occurrences())
+                   for step in range(len(self.job.steps)))
 
-    def _failure(self) -> str:
+    def _failure_reason(self) -> str:
         """Return why the job can't be done, or nothing."""
         for task in self.all_tasks():
             if task.done:
@@ -265,11 +267,11 @@
 def encode_job(job: messages.Job) -> bytes:
     """Return a job as it is stored, without fields at their default."""
     row = dataclasses.asdict(job)
-    row["steps"] = [_lean(step) for step in job.steps]
+    row["steps"] = [_encode_step(step) for step in job.steps]
     return json.dumps(row, separators=(",", ":")).encode()
 
 
-def _lean(step: messages.Step) -> dict[str, typing.Any]:
+def _encode_step(step: messages.Step) -> dict[str, typing.Any]:
     row = {"room": [step.room.cpu, step.room.mem_mb, step.room.gpu]}
     for field in dataclasses.fields(step):
         value = getattr(step, field.name)
@@ -284,7 +286,7 @@
         row = json.loads(value)
         steps = []
         for step in row["steps"]:
-            step["room"] = messages.Room(*step["room"])
+            step["room"] = messages.Resources(*step["room"])
             step["after"] = tuple(step.get("after", ()))
             steps.append(messages.Step(**step))
         row["steps"] = tuple(steps)
@@ -304,8 +306,8 @@
     if state.reason:
         row["reason"] = state.reason
     if not state.final():
-        row["done"] = _masks(state, lambda task: task.done)
-        row["ran"] = _masks(state, lambda task: task.ran)
+        row["done"] = _encode_masks(state, lambda task: task.done)
+        row["ran"] = _encode_masks(state, lambda task: task.has_run)
         row["rest"] = {
             _short_name(t.task):
             [t.last_run, sorted(t.failed_runs), t.saved]
@@ -316,31 +318,33 @@
                      if not t.done and t.suspicion is not None}
         if suspected:
             row["suspected"] = suspected
-        if state.on_trial:
+        if state.quarantine_workers:
             row["trials"] = {_short_name(task): worker_id for task, worker_id
-                             in state.on_trial.items()}
+                             in state.quarantine_workers.items()}
     return json.dumps(row, separators=(",", ":")).encode()
 
 
-def _masks(state: JobState,
-           chosen: typing.Callable[[TaskState], bool]) -> dict[str, str]:
+def _encode_masks(state: JobState,
+                  predicate: typing.Callable[[TaskState], bool]
+                  ) -> dict[str, str]:
     """Return, for each step, a bit mask of the tasks chosen."""
     masks = {}
     for (occurrence, step), tasks in state.tasks.items():
-        mask = sum(1 << i for i, task in enumerate(tasks) if chosen(task))
+        mask = sum(1 << index for index, task in enumerate(tasks)
+                   if predicate(task))
         if mask:
             masks[f"{occurrence}.{step}"] = f"{mask:x}"
     return masks
 
 
-def _masked(state: JobState, masks: dict[str, str]
-            ) -> typing.Iterator[TaskState]:
+def _decode_masks(state: JobState, masks: dict[str, str]
+                  ) -> typing.Iterator[TaskState]:
     """Yield the tasks that bit masks name."""
-    for place, mask in masks.items():
-        k, s = (int(part) for part in place.split("."))
-        state.occurrence(k)
-        for i, task in enumerate(state.tasks[k, s]):
-            if int(mask, 16) >> i & 1:
+    for name, mask in masks.items():
+        occurrence, step = (int(part) for part in name.split("."))
+        state.create_tasks(occurrence)
+        for index, task in enumerate(state.tasks[occurrence, step]):
+            if int(mask, 16) >> index & 1:
                 yield task
 
 
@@ -350,40 +354,41 @@
         row = json.loads(value)
         state.state = row["state"]
         state.reason = row.get("reason", "")
-        for task in _masked(state, row.get("done", {})):
-            task.finish()
-        for task in _masked(state, row.get("ran", {})):
-            task.ran = True
+        for task in _decode_masks(state, row.get("done", {})):
+            task.mark_done()
+        for task in _decode_masks(state, row.get("ran", {})):
+            task.has_run = True
         for name, (run, failed, saved) in row.get("rest", {}).items():
-            found = _find(state, name)
+            found = _find_by_short_name(state, name)
             if found is not None:
                 found.last_run = run
                 found.failed_runs = set(failed)
                 found.saved = saved
         for name, suspected in row.get("suspected", {}).items():
-            found = _find(state, name)
+            found = _find_by_short_name(state, name)
             if found is not None:
                 found.suspicion = suspicion.decode(suspected)
         for name, worker_id in row.get("trials", {}).items():
-            found = _find(state, name)
+            found = _find_by_short_name(state, name)
             if found is not None:
-                state.on_trial[found.task] = worker_id
-        state.stored_trials = dict(state.on_trial)
+                state.quarantine_workers[found.task] = worker_id
+        state.stored_quarantine_workers = dict(state.quarantine_workers)
     except (KeyError, TypeError, AttributeError) as exc:
         raise ValueError(f"not a progress record: {exc!r}") from exc
 
 
-def _find(state: JobState, short_name: str) -> TaskState | None:
+def _find_by_short_name(state: JobState, short_name: str) -> TaskState | None:
     """Return the task that a name within a job means."""
-    k, s, i = (int(part) for part in short_name.split("."))
-    return state.find(messages.TaskId(state.job.job_id, k, s, i))
+    occurrence, step, number = (int(part) for part in short_name.split("."))
+    return state.find(messages.TaskId(
+        state.job.job_id, occurrence, step, number))
 
 
-def state_of(value: bytes) -> str:
+def decode_state(value: bytes) -> str:
     """Return the state named in a stored progress record."""
     return str(json.loads(value)["state"])
 
 
-def reason_of(value: bytes) -> str:
+def decode_failure_reason(value: bytes) -> str:
     """Return why a job failed, from a stored progress record."""
     return str(json.loads(value).get("reason", ""))
--- a/sycamorefield/fleet/recorder.py
+++ b/sycamorefield/fleet/recorder.py
@@ -7,11 +7,11 @@
 
 from sycamorefield import events
 from sycamorefield.fleet import clock
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import progress
 from sycamorefield.fleet import records
 from sycamorefield.fleet import state as state_mod
-from sycamorefield.fleet import surroundings
 from sycamorefield.fleet import usage
 from sycamorefield import metrics
 
@@ -19,66 +19,67 @@
 # expectation and a put.
 VALUES_PER_COMMIT = 15
 # Outcomes that end no job wait this long for others to share a commit.
-LINGER_S = 0.04
-RETRY_PAUSE_S = 0.1
+BATCH_DELAY_S = 0.04
+RETRY_DELAY_S = 0.1
 # How often the numbers of waiting jobs are written at most.
-WAITING_PERIOD_S = 1.0
+WAITING_JOBS_PERIOD_S = 1.0
 # How often what was learnt of images is written: 1 KB or so, and a successor
 # that began anew would harm serving tasks for some ten seconds.
-LEARNT_PERIOD_S = 2.0
+WEIGHTS_PERIOD_S = 2.0
 
 
 class Outcome(enum.Enum):
     """Say what became of a commit."""
 
     STORED = "stored"
-    AGAIN = "again"
-    DEPOSED = "deposed"
+    RETRY = "again"
+    OWNERSHIP_LOST = "deposed"
 
 
-class Value(typing.NamedTuple):
+class PendingWrite(typing.NamedTuple):
     """Hold a value to be written and whom to tell of its revision."""
 
     key: str
     data: bytes
-    revision: int
+    expected_revision: int
     job: progress.JobState | None
     # The workers set aside for suspected tasks, as the data says.
-    trials: dict[messages.TaskId, str] = {}
+    quarantine_workers: dict[messages.TaskId, str] = {}
 
 
 class Recorder:
     """Write what changed; tell links which ends are stored."""
 
-    def __init__(self, store: surroundings.Store,
+    def __init__(self, store: interfaces.Store,
                  fleet: state_mod.FleetState, owner_key: str,
                  may_act: typing.Callable[[], bool],
-                 deposed: typing.Callable[[str], None],
-                 seen: typing.Callable[[dict[str, int]], None]) -> None:
+                 on_ownership_lost: typing.Callable[[str], None],
+                 on_ends_stored: typing.Callable[[dict[str, int]], None]
+                 ) -> None:
         self.store = store
         self.fleet = fleet
         self.owner_key = owner_key
         self.may_act = may_act
-        self.deposed = deposed
-        self.seen = seen
+        self.on_ownership_lost = on_ownership_lost
+        self.on_ends_stored = on_ends_stored
         self.revisions: dict[str, int] = {}
-        self.addresses: dict[str, str] | None = None
+        self.stored_addresses: dict[str, str] | None = None
         # The numbers of waiting jobs as stored, or None if not known: those
         # of an earlier owner must not stand when none wait any more.
-        self.counts: dict[str, int] | None = None
+        self.stored_counts: dict[str, int] | None = None
         self.counted_at = 0.0
-        self.learnt = b"{}"
-        self.learnt_at = 0.0
+        self.stored_weights = b"{}"
+        self.weights_encoded_at = 0.0
         self.stopped = threading.Event()
-        self.flushing = threading.Lock()
+        self.flush_lock = threading.Lock()
 
     def run(self) -> None:
         """Write until stopped or deposed."""
         while not self.stopped.is_set() and self.may_act():
             with self.fleet.lock:
-                urgent = self.fleet.commit_now
-            if not urgent:
-                self.stopped.wait(LINGER_S)
+                commit_now = self.fleet.commit_now
+            if not commit_now:
+                self.stopped.wait(BATCH_DELAY_S)
             if not self.flush():
                 return
 
@@ -88,85 +89,85 @@
         One flush at a time: a second one would find nothing left to write
         and acknowledge ends that the first has not stored yet.
         """
-        with self.flushing:
+        with self.flush_lock:
             return self._flush()
 
     def _flush(self) -> bool:
         with self.fleet.lock:
             self.fleet.commit_now = False
-            marks = {w.entry.worker_id: w.processed
-                     for w in self.fleet.workers.values() if w.processed}
-            values = self._job_values()
-            self._fleet_value(values)
-            self._count_value(values)
-            self._learnt_value(values)
+            stored_ends = {w.entry.worker_id: w.processed
+                           for w in self.fleet.workers.values() if w.processed}
+            writes = self._job_writes()
+            self._add_workers(writes)
+            self._add_waiting_counts(writes)
+            self._add_weights(writes)
         outcomes = set()
-        for begin in range(0, len(values), VALUES_PER_COMMIT):
-            group = values[begin:begin + VALUES_PER_COMMIT]
+        for first in range(0, len(writes), VALUES_PER_COMMIT):
+            group = writes[first:first + VALUES_PER_COMMIT]
             outcomes.add(self._commit(group))
-            if Outcome.DEPOSED in outcomes:
+            if Outcome.OWNERSHIP_LOST in outcomes:
                 return False
-        if Outcome.AGAIN not in outcomes:
-            self.seen(marks)
+        if Outcome.RETRY not in outcomes:
+            self.on_ends_stored(stored_ends)
         return True
 
-    def _job_values(self) -> list[Value]:
-        values = []
+    def _job_writes(self) -> list[PendingWrite]:
+        writes = []
         for job in self.fleet.jobs.values():
             if not job.dirty:
                 continue
             job.dirty = False
-            values.append(Value(records.progress_key(job.job.job_id),
-                                progress.encode_progress(job),
-                                job.state_revision, job,
-                                dict(job.on_trial)))
-        return values
+            writes.append(PendingWrite(
+                records.progress_key(job.job.job_id),
+                progress.encode_progress(job), job.state_revision, job,
+                dict(job.quarantine_workers)))
+        return writes
 
-    def _fleet_value(self, values: list[Value]) -> None:
+    def _add_workers(self, writes: list[PendingWrite]) -> None:
         """Add the workers in use if they changed.
 
         A successor must ask each worker that may run something.  A worker
         gets its first start only after it is on this stored list.
         """
-        now = {w.entry.worker_id: w.entry.address
-               for w in self.fleet.workers.values()}
+        addresses = {w.entry.worker_id: w.entry.address
+                     for w in self.fleet.workers.values()}
         for worker_id in self.fleet.unheard:
-            if self.addresses and worker_id in self.addresses:
-                now.setdefault(worker_id, self.addresses[worker_id])
-        if now != self.addresses:
-            self.fleet.will_store(now)
-            values.append(Value(
-                records.FLEET_KEY, records.encode_addresses(now),
-                self.revisions.get(records.FLEET_KEY, 0), None))
-
-    def _count_value(self, values: list[Value]) -> None:
+            if self.stored_addresses and worker_id in self.stored_addresses:
+                addresses.setdefault(
+                    worker_id, self.stored_addresses[worker_id])
+        if addresses != self.stored_addresses:
+            self.fleet.will_store(addresses)
+            writes.append(PendingWrite(
+                records.WORKERS_KEY, records.encode_addresses(addresses),
+                self.revisions.get(records.WORKERS_KEY, 0), None))
+
+    def _add_waiting_counts(self, writes: list[PendingWrite]) -> None:
         now = time.monotonic()
-        if (now - self.counted_at < WAITING_PERIOD_S
-                and self.counts is not None):
+        if (now - self.counted_at < WAITING_JOBS_PERIOD_S
+                and self.stored_counts is not None):
             return
         # Counting holds the fleet's lock for each job that waits.
         self.counted_at = now
         counts = self.fleet.waiting()
-        if counts == self.counts:
+        if counts == self.stored_counts:
             return
-        self.counts = counts
-        values.append(Value(records.WAITING_KEY,
-                            records.encode_counts(counts),
-                            self.revisions.get(records.WAITING_KEY, 0),
-                            None))
-
-    def _learnt_value(self, values: list[Value]) -> None:
-        if time.monotonic() - self.learnt_at < LEARNT_PERIOD_S:
+        self.stored_counts = counts
+        writes.append(PendingWrite(
+            records.WAITING_JOBS_KEY, records.encode_counts(counts),
+            self.revisions.get(records.WAITING_JOBS_KEY, 0), None))
+
+    def _add_weights(self, writes: list[PendingWrite]) -> None:
+        if time.monotonic() - self.weights_encoded_at < WEIGHTS_PERIOD_S:
             return
-        self.learnt_at = time.monotonic()
+        self.weights_encoded_at = time.monotonic()
         data = self.fleet.learnt.encode()
-        if data != self.learnt:
-            self.learnt = data
-            values.append(Value(
-                records.LEARNT_KEY, data,
-                self.revisions.get(records.LEARNT_KEY, 0), None))
+        if data != self.stored_weights:
+            self.stored_weights = data
+            writes.append(PendingWrite(
+                records.WEIGHTS_KEY, data,
+                self.revisions.get(records.WEIGHTS_KEY, 0), None))
 
-    def _commit(self, values: list[Value]) -> Outcome:
+    def _commit(self, writes: list[PendingWrite]) -> Outcome:
         """Commit until the outcome is known.
 
         Without an answer the transaction may have been carried out, or may
@@ -174,67 +175,68 @@
         effect, its expectations fail and the items show our values.
         """
         expects = [messages.Expect(self.owner_key, self.fleet.fence)]
-        expects += [messages.Expect(v.key, v.revision) for v in values]
-        puts = tuple(messages.Put(v.key, v.data) for v in values)
+        expects += [messages.Expect(write.key, write.expected_revision)
+                    for write in writes]
+        puts = tuple(messages.Put(write.key, write.data) for write in writes)
         transaction = messages.Transaction(tuple(expects), puts)
         while self.may_act():
             began = clock.now()
             try:
                 revision = self.store.commit(transaction)
                 metrics.CALLS.record(usage.COMMIT, clock.now() - began)
-                for value in values:
-                    self._stored(value, revision)
+                for write in writes:
+                    self._mark_stored(write, revision)
                 return Outcome.STORED
-            except surroundings.Conflict as exc:
-                return self._conflict(values, exc)
-            except (surroundings.CallFailed, surroundings.LeaseEnded) as exc:
+            except interfaces.Conflict as exc:
+                return self._resolve_conflict(writes, exc)
+            except (interfaces.CallFailed, interfaces.LeaseEnded) as exc:
                 events.emit(events.COMMIT_FAILED, reason=str(exc),
-                            values=len(values))
-                if self.stopped.wait(RETRY_PAUSE_S):
+                            values=len(writes))
+                if self.stopped.wait(RETRY_DELAY_S):
                     break
-        return Outcome.DEPOSED
+        return Outcome.OWNERSHIP_LOST
 
-    def _conflict(self, values: list[Value],
-                  conflict: surroundings.Conflict) -> Outcome:
-        owner = conflict.at(self.owner_key)
+    def _resolve_conflict(self, writes: list[PendingWrite],
+                          conflict: interfaces.Conflict) -> Outcome:
+        owner = conflict.item_for(self.owner_key)
         if owner is None or owner.revision != self.fleet.fence:
-            self.deposed("owner's key has changed")
-            return Outcome.DEPOSED
+            self.on_ownership_lost("owner's key has changed")
+            return Outcome.OWNERSHIP_LOST
         outcome = Outcome.STORED
-        for value in values:
-            item = conflict.at(value.key)
+        for write in writes:
+            item = conflict.item_for(write.key)
             revision = item.revision if item is not None else 0
-            if item is not None and item.value == value.data:
-                self._stored(value, revision)
+            if item is not None and item.value == write.data:
+                self._mark_stored(write, revision)
                 continue
-            events.emit(events.COMMIT_FAILED, key=value.key,
+            events.emit(events.COMMIT_FAILED, key=write.key,
                         reason="stored value is not ours")
-            outcome = Outcome.AGAIN
-            self.revisions[value.key] = revision
-            if value.job is not None:
-                value.job.state_revision = revision
-                value.job.dirty = True
-            elif value.key == records.FLEET_KEY:
-                self.addresses = None
-            elif value.key == records.LEARNT_KEY:
-                self.learnt = b"{}"
+            outcome = Outcome.RETRY
+            self.revisions[write.key] = revision
+            if write.job is not None:
+                write.job.state_revision = revision
+                write.job.dirty = True
+            elif write.key == records.WORKERS_KEY:
+                self.stored_addresses = None
+            elif write.key == records.WEIGHTS_KEY:
+                self.stored_weights = b"{}"
             else:
-                self.counts = None
+                self.stored_counts = None
         return outcome
 
-    def _stored(self, value: Value, revision: int) -> None:
-        self.revisions[value.key] = revision
-        if value.key == records.FLEET_KEY:
-            self.addresses = records.decode_mapping(value.data)
-            self.fleet.enrol(self.addresses)
-        if value.job is not None:
-            value.job.state_revision = revision
-            self._trials_stored(value.job, value.trials)
-
-    def _trials_stored(self, job: progress.JobState,
-                       stored: dict[messages.TaskId, str]) -> None:
-        if stored == job.stored_trials:
+    def _mark_stored(self, write: PendingWrite, revision: int) -> None:
+        self.revisions[write.key] = revision
+        if write.key == records.WORKERS_KEY:
+            self.stored_addresses = records.decode_mapping(write.data)
+            self.fleet.enrol(self.stored_addresses)
+        if write.job is not None:
+            write.job.state_revision = revision
+            self._mark_quarantine_stored(write.job, write.quarantine_workers)
+
+    def _mark_quarantine_stored(self, job: progress.JobState,
+                                stored: dict[messages.TaskId, str]) -> None:
+        if stored == job.stored_quarantine_workers:
             return
         with self.fleet.lock:
-            job.stored_trials = stored
+            job.stored_quarantine_workers = stored
             self.fleet.notify()
--- a/sycamorefield/fleet/records.py
+++ b/sycamorefield/fleet/records.py
@@ -9,9 +9,9 @@
 # One watch under this prefix covers the operators' keys (op/...) and the
 # owner's key, at the price of one waiting call instead of two.
 WATCHED_PREFIX = "o"
-FLEET_KEY = "fleet/workers"
-WAITING_KEY = "fleet/waiting"
-LEARNT_KEY = "fleet/learnt"
+WORKERS_KEY = "fleet/workers"
+WAITING_JOBS_KEY = "fleet/waiting"
+WEIGHTS_KEY = "fleet/learnt"
 
 
 def job_key(job_id: str) -> str:
--- a/sycamorefield/fleet/recovery.py
+++ b/sycamorefield/fleet/recovery.py
@@ -3,13 +3,13 @@
 from sycamorefield import events
 from sycamorefield.fleet import clock
 from sycamorefield.fleet import inbox as inbox_mod
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import progress
 from sycamorefield.fleet import recorder as recorder_mod
 from sycamorefield.fleet import records
 from sycamorefield.fleet import roster as roster_mod
 from sycamorefield.fleet import state as state_mod
-from sycamorefield.fleet import surroundings
 from sycamorefield.fleet import workerstate
 
 # Without any answer of the store the owner goes on this long: an outage of
@@ -23,8 +23,8 @@
 class Recovery:
     """Take over jobs, progress and workers from the store."""
 
-    def __init__(self, store: surroundings.Store,
-                 worker_list: surroundings.WorkerList,
+    def __init__(self, store: interfaces.Store,
+                 worker_list: interfaces.WorkerList,
                  fleet: state_mod.FleetState, inbox: inbox_mod.Inbox,
                  roster: roster_mod.Roster,
                  recorder: recorder_mod.Recorder) -> None:
@@ -40,9 +40,9 @@
 
         Raises CallFailed; it may then be tried again.
         """
-        fleet_item = self.store.get(records.FLEET_KEY)
-        waiting_item = self.store.get(records.WAITING_KEY)
-        learnt_item = self.store.get(records.LEARNT_KEY)
+        fleet_item = self.store.get(records.WORKERS_KEY)
+        waiting_item = self.store.get(records.WAITING_JOBS_KEY)
+        learnt_item = self.store.get(records.WEIGHTS_KEY)
         jobs = self.store.listing(records.JOB_PREFIX)
         stored = self.store.listing(records.PROGRESS_PREFIX)
         listed_at = clock.now()
@@ -55,7 +55,7 @@
             for item in jobs.items:
                 self.inbox.take_cancel(item.key)
             if waiting_item is not None:
-                self.recorder.revisions[records.WAITING_KEY] = (
+                self.recorder.revisions[records.WAITING_JOBS_KEY] = (
                     waiting_item.revision)
             if learnt_item is not None:
                 self._take_learnt(learnt_item)
@@ -97,7 +97,7 @@
             self.fleet.trials.inherit(state, clock.now())
 
     def _take_learnt(self, item: messages.Item) -> None:
-        self.recorder.revisions[records.LEARNT_KEY] = item.revision
+        self.recorder.revisions[records.WEIGHTS_KEY] = item.revision
         try:
             self.fleet.learnt.decode(item.value)
         except ValueError as exc:
@@ -113,7 +113,7 @@
         """
         if item is None:
             return
-        self.recorder.revisions[records.FLEET_KEY] = item.revision
-        self.recorder.addresses = records.decode_mapping(item.value)
+        self.recorder.revisions[records.WORKERS_KEY] = item.revision
+        self.recorder.stored_addresses = records.decode_mapping(item.value)
         until = clock.now() + WITHOUT_STORE_S + workerstate.LEASE_OVER_S
-        self.fleet.expect(self.recorder.addresses, until)
+        self.fleet.expect(self.recorder.stored_addresses, until)
--- a/sycamorefield/fleet/reports.py
+++ b/sycamorefield/fleet/reports.py
@@ -72,15 +72,15 @@
         return
     job, task = found
     current = fleet.is_current(worker, task, ended.run)
-    began = task.started if current else 0.0
+    began = task.started_at if current else 0.0
     worker.release((ended.task, ended.run), task.step)
     task.last_run = max(task.last_run, ended.run)
-    task.begun = True
+    task.start_confirmed = True
     if current:
-        task.idle()
+        task.reset_run()
     if task.done or job.final():
         return
-    job.note_ran(task)
+    job.mark_has_run(task)
     if ended.how == messages.DONE:
         _done(fleet, job, task, worker, began, now)
     elif ended.how == messages.FAILED:
@@ -98,13 +98,13 @@
     if task.step.perpetual:
         return
     if began:
-        task.earlier_s = now - began
+        task.previous_run_s = now - began
     if demand.is_short(task.step) and began:
         fleet.demand.add_run(job.job.queue, now - began)
     place = (task.task.occurrence, task.task.step)
     members = job.tasks[place] if task.step.gang else [task]
     for member in members:
-        member.finish()
+        member.mark_done()
         if member is task and member.phase in (progress.STARTING,
                                                progress.RUNNING):
             fleet.stop_run(member, "done elsewhere")
@@ -114,7 +114,7 @@
 def _failed(fleet: state_mod.FleetState, job: progress.JobState,
             task: progress.TaskState, worker: workerstate.WorkerState,
             run: int, now: float) -> None:
-    task.avoid.add(worker.entry.worker_id)
+    task.avoided_workers.add(worker.entry.worker_id)
     if worker.failed(now):
         events.emit(events.WORKER_AVOIDED, failures=worker.failures,
                     worker=worker.entry.worker_id)
@@ -133,11 +133,11 @@
         return
     job, task = found
     task.last_run = max(task.last_run, row.run)
-    task.begun = True
+    task.start_confirmed = True
     worker.reserve((row.task, row.run), task.step, task)
     if fleet.is_current(worker, task, row.run):
         if row.percent != task.percent:
-            task.advance(row.percent, now)
+            task.update_progress(row.percent, now)
         if row.saved:
             task.saved = row.saved
         if not task.stuck and slowness.stuck(task, now):
@@ -146,7 +146,7 @@
         if task.phase == progress.STARTING:
             # Its answer comes later, or not at all.
             task.phase = progress.RUNNING
-            task.moved_at = task.started = now
+            task.confirmed_at = task.started_at = now
         return
     if job.final() or task.done:
         _unexpected(fleet, worker, row, "already over", now, task)
@@ -159,7 +159,7 @@
 def _slow(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
           task: progress.TaskState, now: float) -> None:
     """Avoid a worker on which several tasks make no progress."""
-    task.avoid.add(worker.entry.worker_id)
+    task.avoided_workers.add(worker.entry.worker_id)
     stuck = sum(1 for other in worker.tasks.values() if other.stuck)
     if stuck >= slowness.STUCK_TASKS and worker.avoid_until <= now:
         worker.avoid_until = now + workerstate.AVOID_S
@@ -170,24 +170,24 @@
 def _adopt(worker: workerstate.WorkerState, job: progress.JobState,
            task: progress.TaskState, row: messages.RunningTask,
            now: float) -> None:
-    job.note_ran(task)
+    job.mark_has_run(task)
     task.phase = progress.RUNNING
     task.run = row.run
     task.worker_id = worker.entry.worker_id
     task.saved = row.saved or task.saved
     task.percent = row.percent
-    task.started = task.moved_at = now
+    task.started_at = task.confirmed_at = now
     if task.step.fills:
-        task.pace = UNKNOWN_PACE
+        task.pace_percent = UNKNOWN_PACE
 
 
 def _unexpected(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
                 row: messages.RunningTask, reason: str, now: float,
                 task: progress.TaskState | None) -> None:
-    if task is not None and now - task.stop_sent < STOP_AGAIN_S:
+    if task is not None and now - task.stop_sent_at < STOP_AGAIN_S:
         return
     if task is not None:
-        task.stop_sent = now
+        task.stop_sent_at = now
     events.emit(events.RUN_UNEXPECTED, task=str(row.task), run=row.run,
                 worker=worker.entry.worker_id, reason=reason)
     fleet.send(worker.entry.worker_id,
@@ -209,9 +209,9 @@
             continue
         if fleet.is_current(worker, task, run[1]):
             if (task.phase == progress.STARTING
-                    or not 0 < task.moved_at < sent):
+                    or not 0 < task.confirmed_at < sent):
                 continue
-            task.idle()
+            task.reset_run()
             events.emit(events.RUN_VANISHED, task=str(run[0]),
                         run=run[1], worker=worker.entry.worker_id)
         worker.release(run, task.step)
--- a/sycamorefield/fleet/roster.py
+++ b/sycamorefield/fleet/roster.py
@@ -3,12 +3,12 @@
 import typing
 
 from sycamorefield.fleet import clock
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import link as link_mod
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import state as state_mod
-from sycamorefield.fleet import surroundings
 
-WorkerFactory = typing.Callable[[messages.WorkerEntry], surroundings.Worker]
+WorkerFactory = typing.Callable[[messages.WorkerEntry], interfaces.Worker]
 MayAct = typing.Callable[[], bool]
 
 
@@ -90,7 +90,7 @@
                 continue
             entry = messages.WorkerEntry(
                 worker_id, "", addresses[worker_id], "", False,
-                messages.Room(), ())
+                messages.Resources(), ())
             link = self._take_entry(entry)
             with self.fleet.lock:
                 self.fleet.workers[worker_id].listed = False
--- a/sycamorefield/fleet/rounds.py
+++ b/sycamorefield/fleet/rounds.py
@@ -170,7 +170,7 @@
                        scope: shortage.Scope) -> bool:
         """Let a task without room wait; tell if others may be tried."""
         expected = self._expects_room(state, task, site, scope)
-        if (self.policy.keep_gaps and task.ran
+        if (self.policy.keep_gaps and task.has_run
                 and ordering.interrupted(state, self.now)):
             return self._keep_gap(task, site, scope) or expected
         # Of one step some lasting tasks may have run and others not.
@@ -179,7 +179,7 @@
     def _choose(self, task: progress.TaskState, site: Site
                 ) -> workerstate.WorkerState | None:
         """Return the best worker for a task of the step being placed."""
-        if task.avoid or not self.policy.remember_shortage:
+        if task.avoided_workers or not self.policy.remember_shortage:
             self.ranking = None
             return placing.choose(
                 task, site.service,
@@ -252,7 +252,7 @@
         if self.held[part].covers(site.scope(task), task.step.room):
             return True
         return (part is headroom.Part.REST and self._headroom(
-            state, site).settling(self.now - state.seen_at))
+            state, site).settling(self.now - state.first_ready_at))
 
     def _headroom(self, state: progress.JobState,
                   site: Site) -> headroom.Headroom:
@@ -268,7 +268,7 @@
 
     def _start(self, state: progress.JobState, task: progress.TaskState,
                worker: workerstate.WorkerState, site: Site) -> None:
-        self.fleet.start(state, task, worker, state.next_run(task),
+        self.fleet.start(state, task, worker, state.next_run_number(task),
                          site.ticket(worker))
         for room in self.headrooms.values():
             room.started(worker, task.step.reserved().cpu)
@@ -307,7 +307,7 @@
         """Start all members at once with one run number, or none."""
         if len(idle) < len(tasks):
             return
-        run = max(state.next_run(t) for t in tasks)
+        run = max(state.next_run_number(t) for t in tasks)
         chosen = gangs.choose(tasks, site.service, site.workers)
         saved = max((t.saved for t in tasks), default="")
         for task, worker in zip(tasks, chosen):
@@ -349,7 +349,8 @@
 
     def _start_trial(self, trial: trials.Trial, site: Site) -> None:
         state = trial.job
-        trial.run = max(state.next_run(task) for task, _ in trial.members)
+        trial.run = max(state.next_run_number(task)
+                        for task, _ in trial.members)
         saved = max(task.saved for task, _ in trial.members)
         events.emit(events.TRIAL_BEGUN, runs=[
             (str(task.task), trial.run, worker_id)
@@ -476,14 +477,15 @@
         fleet.demand.begin(now)
         fleet.trials.review(fleet.workers, now)
         configuration = fleet.configuration()
-        queues = configuration.by_name()
+        queues = configuration.queues_by_name()
         if configuration.version != fleet.placed_with:
             # Priorities and services may have changed.
             fleet.placed_with = configuration.version
             fleet.no_room.clear()
             fleet.no_victims.clear()
         ranked = ordering.ranked(
-            (state for state in fleet.active.values() if not state.quiet),
+            (state for state in fleet.active.values()
+             if not state.skip_rounds),
             queues, wall_ms, now, fleet.policy.rank_by_lateness)
         round_ = Round(fleet, queues, _usable(fleet, now), now)
         for state in ranked:
@@ -518,7 +520,7 @@
 
 def _note_arrival(round_: Round, state: progress.JobState) -> None:
     """Learn from a job whose turn has come what comes how often."""
-    state.seen_at = round_.now
+    state.first_ready_at = round_.now
     if state.created > round_.fleet.fence:
         # Those of an earlier owner did not come just now.
         round_.fleet.demand.add_job(state.job, round_.now)
@@ -531,14 +533,14 @@
     A job of which nothing waits is passed over until one of its tasks is
     idle again or done: on a full fleet that is most jobs.
     """
-    waits = state.lasting and state.down_since > 0.0
+    waits = state.long_running and state.down_since > 0.0
     for occurrence in range(state.job.occurrences()):
         if state.job.due_ms(occurrence) > wall_ms:
             waits = True
             break
-        if not state.seen_at:
+        if not state.first_ready_at:
             _note_arrival(round_, state)
-        state.occurrence(occurrence)
+        state.create_tasks(occurrence)
         for step in range(len(state.job.steps)):
             waits |= round_.place_step(state, occurrence, step)
-    state.quiet = not waits
+    state.skip_rounds = not waits
--- a/sycamorefield/fleet/runlog.py
+++ b/sycamorefield/fleet/runlog.py
@@ -18,9 +18,9 @@
 RUNS_PER_LINE = 100
 
 # The task, its run and the worker.
-Row = tuple[messages.TaskId, int, str]
+RunRow = tuple[messages.TaskId, int, str]
 # The task, its run and for how many seconds it was at work, if it was.
-LostRow = tuple[str, int, float | None]
+LostRunRow = tuple[str, int, float | None]
 
 
 class RunLog:
@@ -28,9 +28,9 @@
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
-        self.ordered: list[Row] = []
+        self.ordered: list[RunRow] = []
         # Ended runs by how they ended.
-        self.ended: dict[str, list[Row]] = {}
+        self.ended: dict[str, list[RunRow]] = {}
         self.ordered_total = 0
         self.ended_total = 0
         self.flushed_at = 0.0
@@ -60,26 +60,27 @@
         with self.lock:
             ordered, self.ordered = self.ordered, []
             ended, self.ended = self.ended, {}
-        for rows in _lines(ordered):
+        for rows in _split_rows(ordered):
             events.emit(events.RUN_ORDERED, runs=rows)
         for how, runs in ended.items():
-            for rows in _lines(runs):
+            for rows in _split_rows(runs):
                 events.emit(events.RUN_ENDED, how=how, runs=rows)
 
 
-def lost_rows(runs: typing.Iterable[tuple[progress.TaskState, int]],
-              at: float) -> list[LostRow]:
+def lost_run_rows(runs: typing.Iterable[tuple[progress.TaskState, int]],
+                  at: float) -> list[LostRunRow]:
     """Return rows on runs that ended with their worker, the newest first."""
     rows = []
     for task, run in runs:
-        current = task.run == run and task.started > 0.0
-        age_s = round(at - task.started, 3) if current else None
+        current = task.run == run and task.started_at > 0.0
+        age_s = round(at - task.started_at, 3) if current else None
         rows.append((str(task.task), run, age_s))
     rows.sort(key=lambda row: -1.0 if row[2] is None else row[2])
     return rows[:RUNS_PER_LINE]
 
 
-def _lines(runs: list[Row]) -> typing.Iterator[list[tuple[str, int, str]]]:
+def _split_rows(runs: list[RunRow]
+                ) -> typing.Iterator[list[tuple[str, int, str]]]:
     """Yield what each line holds: names of tasks, runs and workers."""
     for begin in range(0, len(runs), RUNS_PER_LINE):
         yield [(str(task), run, worker_id) for task, run, worker_id
--- a/sycamorefield/fleet/shortage.py
+++ b/sycamorefield/fleet/shortage.py
@@ -39,20 +39,20 @@
 
     def __init__(self, remembers: bool = True) -> None:
         self.remembers = remembers
-        self.failed: dict[Scope, list[messages.Room]] = {}
+        self.failed: dict[Scope, list[messages.Resources]] = {}
 
-    def covers(self, scope: Scope, need: messages.Room) -> bool:
+    def covers(self, scope: Scope, need: messages.Resources) -> bool:
         """Tell whether a need is known to find no room."""
         return any(need.holds(smaller)
                    for smaller in self._failed_in(scope))
 
-    def _failed_in(self, scope: Scope) -> typing.Iterator[messages.Room]:
+    def _failed_in(self, scope: Scope) -> typing.Iterator[messages.Resources]:
         yield from self.failed.get(scope, ())
         wider = scope.wider()
         if wider != scope:
             yield from self.failed.get(wider, ())
 
-    def add(self, scope: Scope, need: messages.Room) -> None:
+    def add(self, scope: Scope, need: messages.Resources) -> None:
         """Note that a need found no room."""
         if not self.remembers:
             return
@@ -77,9 +77,9 @@
     """
 
     def __init__(self) -> None:
-        self.searched: dict[tuple[Scope, messages.Room], int] = {}
+        self.searched: dict[tuple[Scope, messages.Resources], int] = {}
 
-    def untried(self, scope: Scope, need: messages.Room,
+    def untried(self, scope: Scope, need: messages.Resources,
                 workers: list[workerstate.WorkerState]
                 ) -> list[workerstate.WorkerState]:
         """Return the workers that may have room, in their order."""
@@ -88,7 +88,7 @@
             return workers
         return [w for w in workers if w.changed > since]
 
-    def add(self, scope: Scope, need: messages.Room) -> None:
+    def add(self, scope: Scope, need: messages.Resources) -> None:
         """Note that a need has just found no room on any worker."""
         if len(self.searched) >= MOST_MISSES:
             self.searched.clear()
--- a/sycamorefield/fleet/slowness.py
+++ b/sycamorefield/fleet/slowness.py
@@ -21,11 +21,12 @@
     step = task.step
     if (step.perpetual or not step.estimate_ms or step.affinity
             or step.same_rack or task.phase != progress.RUNNING
-            or not task.started):
+            or not task.started_at):
         return False
-    if step.fills and (task.pace != 100 or task.slowed_at > task.started):
+    if step.fills and (task.pace_percent != 100
+                       or task.slowed_at > task.started_at):
         return False
-    elapsed = now - task.started
+    elapsed = now - task.started_at
     overdue, least = ((FILL_OVERDUE, FILL_LEAST_S) if step.fills
                       else (OVERDUE, LEAST_S))
     if elapsed < max(least, overdue * step.estimate_ms / 1000.0):
@@ -46,10 +47,10 @@
     own earlier run took, raises it.
     """
     estimate = task.step.estimate_ms / 1000.0
-    seen = [task.earlier_s]
+    seen = [task.previous_run_s]
     if task.job is not None:
         place = (task.task.occurrence, task.task.step)
-        seen += [other.projected_s or other.earlier_s
+        seen += [other.projected_run_s or other.previous_run_s
                  for other in task.job.tasks[place] if other is not task]
     known = [seconds for seconds in seen if seconds]
     return max(estimate, statistics.median_low(known or [estimate]))
--- a/sycamorefield/fleet/state.py
+++ b/sycamorefield/fleet/state.py
@@ -111,7 +111,7 @@
             state = progress.JobState(job, created)
             state.known_at = clock.now()
             if created <= self.fence:
-                state.run_base = self.fence * progress.RUN_GAP
+                state.run_base = self.fence * progress.RUNS_PER_TERM
             self.jobs[job.job_id] = state
             self.active[job.job_id] = state
             self.notify()
@@ -183,7 +183,7 @@
 
         An order may wait to be sent, or get no answer.
         """
-        return any(t.done or t.begun or t.failed_runs or t.saved
+        return any(t.done or t.start_confirmed or t.failed_runs or t.saved
                    for t in state.all_tasks())
 
     # Workers
@@ -309,8 +309,8 @@
             draining=worker.entry.draining, lost=len(worker.reserved),
             silent_s=(round(now - worker.silent_at, 3) if worker.silent
                       else 0.0),
-            runs=runlog.lost_rows(((task, run) for (_, run), task
-                                   in worker.tasks.items()), now))
+            runs=runlog.lost_run_rows(((task, run) for (_, run), task
+                                       in worker.tasks.items()), now))
         if not worker.entry.draining:
             self.ended_lately.append(EndedWorker(
                 worker.entry.rack(),
@@ -319,7 +319,7 @@
         self.unheard.pop(worker_id, None)
         for (_, run), task in worker.tasks.items():
             if task.worker_id == worker_id and task.run == run:
-                task.idle()
+                task.reset_run()
         worker.reserved.clear()
         self.changed = True
 
@@ -414,11 +414,11 @@
             return
         task.phase = progress.STARTING
         task.run = task.last_run = run
-        state.note_ran(task)
+        state.mark_has_run(task)
         task.worker_id = worker.entry.worker_id
-        task.started = task.moved_at = 0.0
+        task.started_at = task.confirmed_at = 0.0
         task.percent = 0
-        task.pace = 100
+        task.pace_percent = 100
         worker.reserve((task.task, run), task.step, task)
         worker.unsent.add((task.task, run))
         if not worker.entry.capacity.holds(worker.used):
--- a/sycamorefield/fleet/trials.py
+++ b/sycamorefield/fleet/trials.py
@@ -67,12 +67,12 @@
         for task, worker_id in trial.members:
             self.by_worker[worker_id] = trial
             self.by_task[task.task] = trial
-            trial.job.on_trial[task.task] = worker_id
+            trial.job.quarantine_workers[task.task] = worker_id
 
     def inherit(self, job: progress.JobState, now: float) -> None:
         """Go on with the trials that an earlier owner has stored."""
         steps: dict[object, list[tuple[progress.TaskState, str]]] = {}
-        for name, worker_id in job.on_trial.items():
+        for name, worker_id in job.quarantine_workers.items():
             task = job.find(name)
             if task is not None:
                 key = name.step_id() if task.step.gang else name
@@ -86,9 +86,9 @@
             if self.by_worker.get(worker_id) is trial:
                 del self.by_worker[worker_id]
             self.by_task.pop(task.task, None)
-            trial.job.on_trial.pop(task.task, None)
+            trial.job.quarantine_workers.pop(task.task, None)
         trial.job.dirty = True
-        trial.job.quiet = False
+        trial.job.skip_rounds = False
         events.emit(events.TRIAL_OVER, reason=reason, runs=[
             (str(task.task), trial.run, worker_id)
             for task, worker_id in trial.members])
@@ -107,7 +107,7 @@
     What is stored of it tells a successor whom to suspect.
     """
     marks = trial.marks()
-    if any(trial.job.stored_trials.get(name) != worker_id
+    if any(trial.job.stored_quarantine_workers.get(name) != worker_id
            for name, worker_id in marks.items()):
         return False
     members = {task for task, _ in trial.members}
@@ -122,7 +122,8 @@
     """Tell whether a run on a worker has just begun, or is about to."""
     return any(
         task.run == run and task not in besides
-        and (not task.started or now - task.started < suspicion.AT_START_S)
+        and (not task.started_at
+             or now - task.started_at < suspicion.AT_START_S)
         for (_, run), task in worker.tasks.items())
 
 
@@ -133,7 +134,7 @@
         if tickets is not None and worker_id not in tickets:
             return False
         worker = workers[worker_id]
-        need = messages.Room()
+        need = messages.Resources()
         for task, other in trial.members:
             if other == worker_id:
                 need = need.plus(task.step.reserved())
@@ -190,7 +191,7 @@
     # Without a later report the worker may have crashed unnoticed.
     alive_at = min(workers[worker_id].reported_at
                    for worker_id in trial.workers())
-    began = [task.started for task in current]
+    began = [task.started_at for task in current]
     if not min(began) or alive_at - max(began) < trial.trial_s():
         return ""
     for task in current:
--- a/sycamorefield/fleet/usage.py
+++ b/sycamorefield/fleet/usage.py
@@ -54,15 +54,16 @@
     with fleet.lock:
         states = list(fleet.active.values())
     waiting: dict[int, int] = {}
-    down = []
-    down_s = 0.0
+    down_tasks = []
+    longest_down_s = 0.0
     for state in states:
         with fleet.lock:
-            level = state.job.priority
-            waiting[level] = waiting.get(level, 0) + _ready(state)
-            if state.lasting:
-                down += _down(state)
-                down_s = max(down_s, state.down_for(now))
+            priority = state.job.priority
+            waiting[priority] = (waiting.get(priority, 0)
+                                 + _count_ready(state))
+            if state.long_running:
+                down_tasks += _down_tasks(state)
+                longest_down_s = max(longest_down_s, state.downtime_s(now))
     with fleet.lock:
         workers = [w for w in fleet.workers.values() if w.listed]
         capacity = sum(w.entry.capacity.cpu for w in workers)
@@ -78,21 +79,21 @@
             sum(1 for w in fleet.workers.values() if w.silent),
             len(fleet.unheard), len(fleet.trials.by_worker),
             sum(w.lasting_cpu for w in workers) / 1000.0,
-            kept / 1000.0, ahead / 1000.0, waiting, len(down),
-            round(down_s, 3),
-            max((t.step.room.cpu for t in down), default=0) / 1000.0)
+            kept / 1000.0, ahead / 1000.0, waiting, len(down_tasks),
+            round(longest_down_s, 3),
+            max((t.step.room.cpu for t in down_tasks), default=0) / 1000.0)
 
 
-def _ready(state: progress.JobState) -> int:
+def _count_ready(state: progress.JobState) -> int:
     """Return how many tasks of a job wait for nothing but room."""
-    return sum(1 for (k, s), tasks in state.tasks.items()
-               if state.step_ready(k, s) for t in tasks
+    return sum(1 for (occurrence, step), tasks in state.tasks.items()
+               if state.step_ready(occurrence, step) for t in tasks
                if t.phase == progress.IDLE and not t.done)
 
 
-def _down(state: progress.JobState) -> list[progress.TaskState]:
+def _down_tasks(state: progress.JobState) -> list[progress.TaskState]:
     return [task for task in state.all_tasks()
-            if task.phase == progress.IDLE and task.ran]
+            if task.phase == progress.IDLE and task.has_run]
 
 
 @dataclasses.dataclass
--- a/sycamorefield/fleet/workerstate.py
+++ b/sycamorefield/fleet/workerstate.py
@@ -57,10 +57,10 @@
         self.reported_at = 0.0
         # When the last call that it answered was sent.
         self.obeyed_at = 0.0
-        self.reserved: dict[Run, messages.Room] = {}
-        self.used = messages.Room()
-        self.free_of = (messages.Room(), messages.Room())
-        self.free_room = messages.Room()
+        self.reserved: dict[Run, messages.Resources] = {}
+        self.used = messages.Resources()
+        self.free_of = (messages.Resources(), messages.Resources())
+        self.free_room = messages.Resources()
         self.tasks: dict[Run, progress.TaskState] = {}
         # Runs whose start waits to be sent.
         self.unsent: set[Run] = set()
@@ -176,7 +176,7 @@
             self.touch()
         return held_back and self.takes_starts()
 
-    def free(self) -> messages.Room:
+    def free(self) -> messages.Resources:
         """Return the room that no run takes; what stops still counts.
 
         Rounds ask for it tens of thousands of times a second, so it is
--- a/sycamorefield/platform/advice.py
+++ b/sycamorefield/platform/advice.py
@@ -1,7 +1,7 @@
 """Speak to the platform's advice service."""
 
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
-from sycamorefield.fleet import surroundings
 from sycamorefield.platform import calls
 
 # Beyond what the policy says a call takes: its way and its turn behind the
@@ -9,7 +9,7 @@
 SLACK_S = 1.0
 
 
-class PlatformAdvice(surroundings.AdviceService):
+class PlatformAdvice(interfaces.AdviceService):
     """Ask over HTTP, one call at a time."""
 
     def __init__(self, address: str) -> None:
@@ -23,10 +23,10 @@
             "POST", "/-/advise", expected_ms / 1000.0 + SLACK_S,
             {"step": step, "workers": list(workers)})
         if answer.status in (429, 503):
-            raise surroundings.CallRefused(
+            raise interfaces.CallRefused(
                 f"advice service answers {answer.status}")
         if answer.status != 200:
-            raise surroundings.CallFailed(
+            raise interfaces.CallFailed(
                 f"advice service answers {answer.status}")
         valid_ms = answer.body.get("valid_ms")
         return messages.Advice(
--- a/sycamorefield/platform/calls.py
+++ b/sycamorefield/platform/calls.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from sycamorefield.fleet import clock
-from sycamorefield.fleet import surroundings
+from sycamorefield.fleet import interfaces
 from sycamorefield import metrics
 from sycamorefield.platform import exchange
 
@@ -28,7 +28,7 @@
         try:
             decoded = msgspec.json.decode(self.data)
         except msgspec.MsgspecError as exc:
-            raise surroundings.CallFailed(
+            raise interfaces.CallFailed(
                 f"unreadable answer: {exc}") from exc
         return decoded if isinstance(decoded, dict) else {}
 
--- a/sycamorefield/platform/exchange.py
+++ b/sycamorefield/platform/exchange.py
@@ -13,7 +13,7 @@
 import httptools
 import urllib3
 
-from sycamorefield.fleet import surroundings
+from sycamorefield.fleet import interfaces
 
 # A connection to a VM without power never opens; a data centre away a
 # handshake takes 3 ms, so half a second means that nobody is there.
@@ -82,7 +82,7 @@
             while self.response is None:
                 self._read()
         except OSError as exc:
-            raise surroundings.CallFailed(f"no answer: {exc!r}") from exc
+            raise interfaces.CallFailed(f"no answer: {exc!r}") from exc
         return self.response
 
     def _read(self) -> None:
@@ -92,17 +92,17 @@
         try:
             self.parser.feed_data(bytes(self.buffer[:size]))
         except httptools.HttpParserError as exc:
-            raise surroundings.CallFailed(f"not HTTP: {exc!r}") from exc
+            raise interfaces.CallFailed(f"not HTTP: {exc!r}") from exc
 
-    def _ended(self) -> surroundings.CallFailed:
+    def _ended(self) -> interfaces.CallFailed:
         """Return what the end of a connection before a whole answer means.
 
         A worker that leaves ends its connections in order, between answers; a
         cut network resets them while the worker goes on.
         """
         if self.parts:
-            return surroundings.CallFailed("answer broke off")
-        return surroundings.ConnectionClosed("closed before an answer")
+            return interfaces.CallFailed("answer broke off")
+        return interfaces.ConnectionClosed("closed before an answer")
 
     def close(self) -> None:
         """Close the connection; it can't be used again."""
@@ -128,7 +128,7 @@
         connection = self._idle() or self._connect(timeout_s)
         try:
             response = connection.exchange(request, timeout_s)
-        except surroundings.CallFailed:
+        except interfaces.CallFailed:
             connection.close()
             raise
         if connection.keeps_alive and len(self.idle) < self.most:
@@ -155,10 +155,10 @@
             opened.connect()
         except urllib3.exceptions.NewConnectionError as exc:
             if isinstance(exc.__cause__, ConnectionRefusedError):
-                raise surroundings.NobodyListens(str(exc)) from exc
-            raise surroundings.CallRefused(f"no connection: {exc}") from exc
+                raise interfaces.ConnectionRefused(str(exc)) from exc
+            raise interfaces.CallRefused(f"no connection: {exc}") from exc
         except (urllib3.exceptions.HTTPError, OSError) as exc:
-            raise surroundings.CallRefused(f"no connection: {exc}") from exc
+            raise interfaces.CallRefused(f"no connection: {exc}") from exc
         return Connection(opened.sock)
 
     def close(self) -> None:
--- a/sycamorefield/platform/front.py
+++ b/sycamorefield/platform/front.py
@@ -9,8 +9,8 @@
 from sycamorefield import events
 from sycamorefield.fleet import clock
 from sycamorefield.fleet import intake as intake_mod
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
-from sycamorefield.fleet import surroundings
 from sycamorefield.platform import jobbody
 
 JOB_ID = re.compile("[0-9a-fA-F]{16}")
@@ -92,7 +92,7 @@
         name = path[len(queue.prefix):]
         try:
             return self._route(queue, name, body, environ)
-        except surroundings.CallFailed as exc:
+        except interfaces.CallFailed as exc:
             return Reply(503, {"error": str(exc)}, 1)
 
     def _route(self, queue: messages.Queue, name: str, body: bytes,
--- a/sycamorefield/platform/jobbody.py
+++ b/sycamorefield/platform/jobbody.py
@@ -63,7 +63,7 @@
 
 def _step(model: StepModel) -> messages.Step:
     return messages.Step(
-        model.count, messages.Room(model.cpu, model.mem_mb, model.gpu),
+        model.count, messages.Resources(model.cpu, model.mem_mb, model.gpu),
         int(model.est_runtime_ms), tuple(model.after), model.gang,
         model.same_rack, model.requires, model.affinity,
         model.max_per_server, model.speculative, model.perpetual,
--- a/sycamorefield/platform/store.py
+++ b/sycamorefield/platform/store.py
@@ -4,8 +4,8 @@
 import typing
 import urllib.parse
 
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
-from sycamorefield.fleet import surroundings
 from sycamorefield.platform import calls
 
 # Slow answers of the store take up to about 0.3 s (72 times 4 ms).
@@ -18,7 +18,7 @@
 REFUSED_STATUSES = (429, 503)
 
 
-class PlatformStore(surroundings.Store):
+class PlatformStore(interfaces.Store):
     """Call the store over HTTP."""
 
     def __init__(self, address: str) -> None:
@@ -29,7 +29,7 @@
               timeout_s: float = CALL_TIMEOUT_S) -> calls.Answer:
         answer = self.caller.call(method, path, timeout_s, body)
         if answer.status in REFUSED_STATUSES:
-            raise surroundings.CallRefused(f"store answers {answer.status}")
+            raise interfaces.CallRefused(f"store answers {answer.status}")
         return answer
 
     def get(self, key: str) -> messages.Item | None:
@@ -64,7 +64,7 @@
         answer = self._call("GET", "/-/kv-watch?" + query,
                             timeout_s=wait_ms / 1000.0 + WATCH_SLACK_S)
         if answer.status == 410:
-            raise surroundings.HistoryGone(str(after))
+            raise interfaces.HistoryCompacted(str(after))
         _require(answer)
         rows = answer.body.get("events") or []
         return messages.Changes(
@@ -79,11 +79,11 @@
                 "remove": list(transaction.removes)}
         answer = self._call("POST", "/-/kv-txn", body, COMMIT_TIMEOUT_S)
         if answer.status == 412:
-            raise surroundings.Conflict(tuple(
+            raise interfaces.Conflict(tuple(
                 _item(row) for row in answer.body.get("items") or []
                 if row.get("rev")))
         if answer.status == 404:
-            raise surroundings.LeaseEnded("lease of a put has ended")
+            raise interfaces.LeaseEnded("lease of a put has ended")
         _require(answer)
         return int(answer.body["rev"])
 
@@ -97,7 +97,7 @@
         """Renew a lease."""
         answer = self._call("POST", f"/-/kv-keep/{lease}", {})
         if answer.status == 404:
-            raise surroundings.LeaseEnded(str(lease))
+            raise interfaces.LeaseEnded(str(lease))
         _require(answer)
 
 
@@ -107,7 +107,7 @@
 
 def _require(answer: calls.Answer) -> None:
     if answer.status != 200:
-        raise surroundings.CallFailed(f"store answers {answer.status}")
+        raise interfaces.CallFailed(f"store answers {answer.status}")
 
 
 def _item(row: dict[str, typing.Any]) -> messages.Item:
--- a/sycamorefield/platform/workers.py
+++ b/sycamorefield/platform/workers.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from sycamorefield import events
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
-from sycamorefield.fleet import surroundings
 from sycamorefield.platform import calls
 
 ENTRY_PREFIX = "servers/"
@@ -23,7 +23,7 @@
 Decoded = typing.TypeVar("Decoded")
 
 
-class PlatformWorker(surroundings.Worker):
+class PlatformWorker(interfaces.Worker):
     """Give orders to one incarnation of a worker over HTTP."""
 
     def __init__(self, entry: messages.WorkerEntry) -> None:
@@ -37,15 +37,15 @@
         if answer.status == 200:
             return answer
         if answer.status == 421:
-            raise surroundings.OtherIncarnation(self.caller.address)
+            raise interfaces.IncarnationMismatch(self.caller.address)
         if answer.status in (429, 503):
-            raise surroundings.OrderRejected(surroundings.UNHEALTHY)
+            raise interfaces.OrderRejected(interfaces.UNHEALTHY)
         if answer.status == 409:
-            raise surroundings.OrderRejected(
+            raise interfaces.OrderRejected(
                 str(answer.body.get("reason", "")))
         if answer.status == 400:
-            raise surroundings.OrderRejected(surroundings.MALFORMED)
-        raise surroundings.CallFailed(f"worker answers {answer.status}")
+            raise interfaces.OrderRejected(interfaces.MALFORMED)
+        raise interfaces.CallFailed(f"worker answers {answer.status}")
 
     def renew(self, fence: int, recorded_upto: int, lease_end_ms: float | None,
               wait_ms: int) -> messages.WorkerReport:
@@ -94,7 +94,7 @@
     try:
         return decode(body)
     except (KeyError, IndexError, TypeError, ValueError) as exc:
-        raise surroundings.CallFailed(
+        raise interfaces.CallFailed(
             f"unreadable answer: {exc!r}") from exc
 
 
@@ -148,7 +148,7 @@
             tuple(_running(row) for row in body.running or ()),
             tuple(_ended(row) for row in body.ended or ()))
     except (msgspec.MsgspecError, ValueError) as exc:
-        raise surroundings.CallFailed(
+        raise interfaces.CallFailed(
             f"unreadable answer: {exc!r}") from exc
 
 
@@ -169,10 +169,10 @@
                               row.saved or "")
 
 
-class PlatformWorkerList(surroundings.WorkerList):
+class PlatformWorkerList(interfaces.WorkerList):
     """Read the entries that workers write into the store."""
 
-    def __init__(self, store: surroundings.Store) -> None:
+    def __init__(self, store: interfaces.Store) -> None:
         self.store = store
 
     def workers(self) -> tuple[messages.WorkerEntry, ...]:
@@ -198,9 +198,9 @@
             item.key[len(ENTRY_PREFIX):], _text(row["service"]),
             _address(row["addr"]), _text(row.get("zone", "")),
             row["state"] == "draining",
-            messages.Room(_number(room.get("cpu", 0)),
-                          _number(room.get("mem_mb", 0)),
-                          _number(room.get("gpu", 0))),
+            messages.Resources(_number(room.get("cpu", 0)),
+                               _number(room.get("mem_mb", 0)),
+                               _number(room.get("gpu", 0))),
             tuple(_text(label) for label in row.get("labels") or ()),
             None if remaining is None else float(remaining))
     except (ValueError, KeyError, TypeError, AttributeError) as exc:
--- a/tests/fleetfakes.py
+++ b/tests/fleetfakes.py
@@ -5,18 +5,18 @@
 import typing
 
 from sycamorefield.fleet import clock
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import policy as policy_mod
-from sycamorefield.fleet import surroundings
 
 
-class MemoryStore(surroundings.Store):
+class MemoryStore(interfaces.Store):
     """Keep items in memory; lose, refuse or delay calls on demand."""
 
     def __init__(self) -> None:
         self.lock = threading.Condition()
         self.items: dict[str, messages.Item] = {}
-        self.log: list[messages.Change] = []
+        self.changes: list[messages.Change] = []
         self.revision = 1
         self.leases: dict[int, set[str]] = {}
         self.leases_granted = 0
@@ -25,14 +25,14 @@
         # and those that are lost altogether.
         self.lose_answers = 0
         self.lose_calls = 0
-        self.late: list[messages.Transaction] = []
+        self.delayed: list[messages.Transaction] = []
         self.keep_late = 0
-        self.oldest = 0
+        self.oldest_revision = 0
         self.commits = 0
 
     def _check(self) -> None:
         if self.refuse:
-            raise surroundings.CallRefused("store answers 503")
+            raise interfaces.CallRefused("store answers 503")
 
     def get(self, key: str) -> messages.Item | None:
         with self.lock:
@@ -50,8 +50,8 @@
               wait_ms: int) -> messages.Changes:
         with self.lock:
             self._check()
-            if after < self.oldest:
-                raise surroundings.HistoryGone(str(after))
+            if after < self.oldest_revision:
+                raise interfaces.HistoryCompacted(str(after))
             found = self._since(prefix, after)
             if not found:
                 self.lock.wait(min(wait_ms, 50) / 1000.0)
@@ -59,7 +59,7 @@
             return messages.Changes(tuple(found), self.revision)
 
     def _since(self, prefix: str, after: int) -> list[messages.Change]:
-        return [c for c in self.log
+        return [c for c in self.changes
                 if c.revision > after and c.key.startswith(prefix)]
 
     def commit(self, transaction: messages.Transaction) -> int:
@@ -68,32 +68,32 @@
             self.commits += 1
             if self.keep_late:
                 self.keep_late -= 1
-                self.late.append(transaction)
-                raise surroundings.CallFailed("no answer")
+                self.delayed.append(transaction)
+                raise interfaces.CallFailed("no answer")
             if self.lose_calls:
                 self.lose_calls -= 1
-                raise surroundings.CallFailed("no answer")
+                raise interfaces.CallFailed("no answer")
             revision = self._apply(transaction)
             if self.lose_answers:
                 self.lose_answers -= 1
-                raise surroundings.CallFailed("no answer")
+                raise interfaces.CallFailed("no answer")
             return revision
 
     def deliver_late(self) -> None:
         """Carry out what was held back, if its conditions still hold."""
         with self.lock:
-            held, self.late = self.late, []
+            held, self.delayed = self.delayed, []
             for transaction in held:
                 try:
                     self._apply(transaction)
-                except surroundings.Conflict:
+                except interfaces.Conflict:
                     continue
 
     def _apply(self, transaction: messages.Transaction) -> int:
         for expect in transaction.expects:
             item = self.items.get(expect.key)
             if (item.revision if item else 0) != expect.revision:
-                raise surroundings.Conflict(tuple(
+                raise interfaces.Conflict(tuple(
                     self.items[e.key] for e in transaction.expects
                     if e.key in self.items))
         self.revision += 1
@@ -101,10 +101,10 @@
             old = self.items.get(put.key)
             item = messages.Item(put.key, put.value, self.revision,
                                  old.created if old else self.revision)
-            for keys in self.leases.values():
-                keys.discard(put.key)
+            for lease_keys in self.leases.values():
+                lease_keys.discard(put.key)
             self.items[put.key] = item
-            self.log.append(messages.Change(put.key, self.revision, item))
+            self.changes.append(messages.Change(put.key, self.revision, item))
             if put.lease:
                 self.leases.setdefault(put.lease, set()).add(put.key)
         for key in transaction.removes:
@@ -114,7 +114,7 @@
 
     def _remove(self, key: str) -> None:
         if self.items.pop(key, None) is not None:
-            self.log.append(messages.Change(key, self.revision, None))
+            self.changes.append(messages.Change(key, self.revision, None))
 
     def grant(self, ttl_ms: int) -> int:
         with self.lock:
@@ -128,7 +128,7 @@
         with self.lock:
             self._check()
             if lease not in self.leases:
-                raise surroundings.LeaseEnded(str(lease))
+                raise interfaces.LeaseEnded(str(lease))
 
     def end_lease(self, lease: int) -> None:
         """Let a lease lapse: its keys go."""
@@ -143,9 +143,9 @@
     def compact(self) -> None:
         """Drop the history."""
         with self.lock:
-            self.oldest = self.revision + 1
+            self.oldest_revision = self.revision + 1
             self.revision += 1
-            self.log.clear()
+            self.changes.clear()
 
 
 @dataclasses.dataclass
@@ -160,10 +160,10 @@
 
 
 # How long a worker lives on with a task that crashes it.
-CRASHES_AFTER_S = 0.01
+CRASH_DELAY_S = 0.01
 
 
-class MemoryWorker(surroundings.Worker):
+class MemoryWorker(interfaces.Worker):
     """Obey orders as a worker does: fences, runs, leases, ends."""
 
     def __init__(self, worker_id: str) -> None:
@@ -177,28 +177,28 @@
         self.clock_offset = 1000.0
         self.lease_end_ms = 0.0
         self.runs: dict[tuple[messages.TaskId, int], Run] = {}
-        self.over: dict[messages.TaskId, int] = {}
+        self.ended_run: dict[messages.TaskId, int] = {}
         self.ended: list[messages.EndedTask] = []
-        self.number = 0
-        self.forgotten = 0
-        self.dead = False
-        self.mute = False
+        self.end_number = 0
+        self.acknowledged_upto = 0
+        self.restarted = False
+        self.unresponsive = False
         self.starts: list[tuple[messages.TaskId, int]] = []
-        self.saves: list[str] = []
-        self.paces: list[messages.PaceOrder] = []
+        self.start_saves: list[str] = []
+        self.pace_orders: list[messages.PaceOrder] = []
 
     def clock(self) -> float:
         return clock.now() * 1000.0 + self.clock_offset
 
     def _check(self, fence: int) -> None:
-        if self.dead:
-            raise surroundings.OtherIncarnation(self.worker_id)
+        if self.restarted:
+            raise interfaces.IncarnationMismatch(self.worker_id)
         if self.crashed:
-            raise surroundings.NobodyListens("connection refused")
-        if self.mute:
-            raise surroundings.CallFailed("no answer")
+            raise interfaces.ConnectionRefused("connection refused")
+        if self.unresponsive:
+            raise interfaces.CallFailed("no answer")
         if fence < self.fence:
-            raise surroundings.OrderRejected(surroundings.FENCED)
+            raise interfaces.OrderRejected(interfaces.FENCED)
         self.fence = fence
 
     def renew(self, fence: int, recorded_upto: int,
@@ -206,14 +206,14 @@
               wait_ms: int) -> messages.WorkerReport:
         with self.lock:
             self._check(fence)
-            self.forgotten = max(self.forgotten, recorded_upto)
+            self.acknowledged_upto = max(self.acknowledged_upto, recorded_upto)
             self.ended = [e for e in self.ended
-                          if e.number > recorded_upto]
+                          if e.end_number > recorded_upto]
             self.lease_end_ms = max(self.lease_end_ms, lease_end_ms or 0.0)
             if wait_ms and not self.ended:
                 self.lock.wait(min(wait_ms, 30) / 1000.0)
             if self.crashed:
-                raise surroundings.ConnectionClosed("closed")
+                raise interfaces.ConnectionClosed("closed")
             return messages.WorkerReport(
                 self.clock(),
                 tuple(messages.RunningTask(r.task, r.run, r.saved,
@@ -228,22 +228,22 @@
             key = (order.task, order.run)
             if key in self.runs:
                 return self.clock()
-            if (order.run <= self.over.get(order.task, 0)
+            if (order.run <= self.ended_run.get(order.task, 0)
                     or any(t == order.task for t, _ in self.runs)):
-                raise surroundings.OrderRejected(surroundings.OLD_RUN)
+                raise interfaces.OrderRejected(interfaces.STALE_RUN)
             self.runs[key] = Run(order.task, order.run, order.saved)
             self.starts.append(key)
-            self.saves.append(order.saved)
+            self.start_saves.append(order.saved)
             after_s = self.crashing.get(order.task.job_id)
             if after_s is not None:
                 threading.Timer(after_s, self.crash, (key,)).start()
             return self.clock()
 
-    def crash(self, because: tuple[messages.TaskId, int] | None = None
+    def crash(self, cause: tuple[messages.TaskId, int] | None = None
               ) -> None:
         """End without a word, if the run that is the cause still runs."""
         with self.lock:
-            if self.crashed or (because and because not in self.runs):
+            if self.crashed or (cause and cause not in self.runs):
                 return
             self.crashed = True
             self.runs.clear()
@@ -254,15 +254,15 @@
     def stop(self, order: messages.StopOrder, fence: int) -> float:
         with self.lock:
             self._check(fence)
-            self.over[order.task] = max(self.over.get(order.task, 0),
-                                        order.run)
+            self.ended_run[order.task] = max(self.ended_run.get(order.task, 0),
+                                             order.run)
             self._end((order.task, order.run), "stopped")
             return self.clock()
 
     def pace(self, order: messages.PaceOrder, fence: int) -> float:
         with self.lock:
             self._check(fence)
-            self.paces.append(order)
+            self.pace_orders.append(order)
             return self.clock()
 
     def finish(self, task: messages.TaskId, how: str = messages.DONE,
@@ -278,14 +278,15 @@
         run = self.runs.pop(key, None)
         if run is None:
             return
-        self.over[run.task] = max(self.over.get(run.task, 0), run.run)
-        self.number += 1
-        self.ended.append(messages.EndedTask(self.number, run.task, run.run,
-                                             how, run.saved))
+        self.ended_run[run.task] = max(
+            self.ended_run.get(run.task, 0), run.run)
+        self.end_number += 1
+        self.ended.append(messages.EndedTask(
+            self.end_number, run.task, run.run, how, run.saved))
         self.lock.notify_all()
 
 
-class MemoryRoster(surroundings.WorkerList):
+class MemoryWorkerList(interfaces.WorkerList):
     """List workers in memory."""
 
     def __init__(self, entries: typing.Iterable[messages.WorkerEntry]
@@ -297,31 +298,31 @@
 
 
 # Lets lasting tasks take a whole fleet, for tests of a full one.
-NO_ROOM_KEPT = policy_mod.Policy(
+NO_RESERVED_CAPACITY = policy_mod.Policy(
     keep_room_for_short_work=False, spread_lasting_jobs=False)
 
 
-def entry(number: int, cpu: int = 4000, **more: typing.Any
+def entry(number: int, cpu: int = 4000, **overrides: typing.Any
           ) -> messages.WorkerEntry:
     """Return the entry of a worker of four cores."""
     fields: dict[str, typing.Any] = {
         "service": "desk", "address": f"10.0.0.{number}:80",
         "data_centre": "dc", "draining": False,
-        "capacity": messages.Room(cpu, 16_000, 0),
+        "capacity": messages.Resources(cpu, 16_000, 0),
         "labels": ("a", f"r{number % 3}")}
-    fields.update(more)
+    fields.update(overrides)
     return messages.WorkerEntry(f"i-{number}", **fields)
 
 
-def job(job_id: str, *steps: messages.Step, **more: typing.Any
+def job(job_id: str, *steps: messages.Step, **overrides: typing.Any
         ) -> messages.Job:
     """Return a job of the queue "checks"."""
     fields: dict[str, typing.Any] = {
         "queue": "checks", "service": "desk", "priority": 0,
         "max_attempts": 2, "accepted_ms": 0.0, "spec": "spec of " + job_id}
-    fields.update(more)
+    fields.update(overrides)
     return messages.Job(job_id, steps=steps or (
-        messages.Step(1, messages.Room(1000, 1000)),), **fields)
+        messages.Step(1, messages.Resources(1000, 1000)),), **fields)
 
 
 def configuration() -> messages.Configuration:
--- a/tests/platformfakes.py
+++ b/tests/platformfakes.py
@@ -14,8 +14,8 @@
 import typing
 import urllib.parse
 
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
-from sycamorefield.fleet import surroundings
 from tests import fleetfakes
 
 Body = dict[str, typing.Any]
@@ -110,11 +110,11 @@
                 body: Body) -> tuple[int, Body]:
         try:
             return self._serve(path, query, body)
-        except surroundings.HistoryGone:
+        except interfaces.HistoryCompacted:
             return 410, {}
-        except surroundings.LeaseEnded:
+        except interfaces.LeaseEnded:
             return 404, {}
-        except surroundings.Conflict as exc:
+        except interfaces.Conflict as exc:
             return 412, {"items": [_row(item) for item in exc.items]}
 
     def _serve(self, path: str, query: Body, body: Body) -> tuple[int, Body]:
--- a/tests/test_fleet_advice.py
+++ b/tests/test_fleet_advice.py
@@ -4,19 +4,19 @@
 
 from sycamorefield.fleet import answers
 from sycamorefield.fleet import clock
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import rounds
-from sycamorefield.fleet import surroundings
 from sycamorefield.platform import advice as platform_advice
 from tests import fleetfakes
 from tests import platformfakes
 from tests import test_fleet_state
 
 POLICY = messages.AdvicePolicy(10.0, 1.0, 5000.0)
-STEP = messages.Step(2, messages.Room(1000, 10))
+STEP = messages.Step(2, messages.Resources(1000, 10))
 
 
-class Service(surroundings.AdviceService):
+class Service(interfaces.AdviceService):
     """Allow some workers; refuse a number of calls first."""
 
     def __init__(self, good, refusals=0):
@@ -28,7 +28,7 @@
     def advise(self, step, workers, policy):
         if self.refusals:
             self.refusals -= 1
-            raise surroundings.CallRefused("busy")
+            raise interfaces.CallRefused("busy")
         self.asked.append((step, workers))
         return messages.Advice({w: f"{step}/{w}" for w in workers
                                 if w in self.good}, self.valid_ms)
@@ -99,7 +99,7 @@
         bench.now += 0.1
         rounds.place(bench.state, bench.now, 1e12)
         answers.rejected(bench.state, "i-1", bench.orders[-1][1],
-                         surroundings.NO_TICKET, bench.now)
+                         interfaces.INVALID_TICKET, bench.now)
     else:
         bench.now += 10.0
     assert not bench.place()
@@ -130,8 +130,8 @@
 
 
 @pytest.mark.parametrize(("status", "error"), [
-    (200, None), (429, surroundings.CallRefused),
-    (500, surroundings.CallFailed)])
+    (200, None), (429, interfaces.CallRefused),
+    (500, interfaces.CallFailed)])
 def test_the_platforms_answers_are_decoded(status, error):
     server = platformfakes.Server(lambda method, path, query, body: (
         status, {"good": [[body["workers"][0], "t"]], "valid_ms": 3000}))
--- a/tests/test_fleet_crash_days.py
+++ b/tests/test_fleet_crash_days.py
@@ -12,11 +12,11 @@
 WORKERS = 12
 STEPS = 220
 SMALL = (
-    (messages.Step(4, messages.Room(500, 10)),),
-    (messages.Step(6, messages.Room(300, 10), perpetual=True),),
-    (messages.Step(3, messages.Room(400, 10), gang=True),),
-    (messages.Step(3, messages.Room(400, 10)),
-     messages.Step(2, messages.Room(800, 10), after=(0,))),
+    (messages.Step(4, messages.Resources(500, 10)),),
+    (messages.Step(6, messages.Resources(300, 10), perpetual=True),),
+    (messages.Step(3, messages.Resources(400, 10), gang=True),),
+    (messages.Step(3, messages.Resources(400, 10)),
+     messages.Step(2, messages.Resources(800, 10), after=(0,))),
 )
 CRASHING = 4
 
--- a/tests/test_fleet_crashes.py
+++ b/tests/test_fleet_crashes.py
@@ -23,7 +23,7 @@
 WORKERS = 6
 # How long a crashed worker's process takes to come back under a new id.
 REBORN_S = 0.6
-SMALL = messages.Room(300, 100)
+SMALL = messages.Resources(300, 100)
 # A task that crashes its workers is started at most twice more after the
 # third of them.
 MOST_STARTS = 5
@@ -64,7 +64,7 @@
         worker.on_crash = lambda: self.crashed(number, life)
         with self.lock:
             for other in self.workers.values():
-                other.dead |= other.crashed and (
+                other.restarted |= other.crashed and (
                     int(other.worker_id[2:]) % 100 == number)
             self.workers[entry.worker_id] = worker
             self.roster.entries += (entry,)
@@ -104,7 +104,7 @@
         for w in owner.fleet.workers.values()) == WORKERS
 
 
-@pytest.mark.parametrize("after_s", [0.0, fleetfakes.CRASHES_AFTER_S, 0.8],
+@pytest.mark.parametrize("after_s", [0.0, fleetfakes.CRASH_DELAY_S, 0.8],
                          ids=["at-once", "soon", "later"])
 @pytest.mark.parametrize("step", [
     messages.Step(1, SMALL),
@@ -192,7 +192,7 @@
     item = fleet.store.items.get(records.progress_key(job_id))
     if item is None:
         return 0
-    if progress.state_of(item.value) == messages.JOB_FAILED:
+    if progress.decode_state(item.value) == messages.JOB_FAILED:
         return MOST_STARTS
     state = progress.JobState(fleetfakes.job(job_id, SHORT), 0)
     progress.apply_progress(state, item.value)
@@ -297,11 +297,11 @@
     crashes.worker_refuses(bench.state, worker_id)
     assert not bench.place()
     job = bench.state.jobs["j"]
-    [apart] = job.on_trial.values()
+    [apart] = job.quarantine_workers.values()
     bench.add(fleetfakes.job("k", messages.Step(40, SMALL)), 21)
     assert not any(p.startswith("j.") or p.endswith("@" + apart)
                    for p in bench.place())
-    job.stored_trials = dict(job.on_trial)
+    job.stored_quarantine_workers = dict(job.quarantine_workers)
     placed = bench.place()
     assert f"j.0.0.0@{apart}" in placed
     assert sum(p.endswith("@" + apart) for p in placed) == 1
@@ -327,7 +327,7 @@
 def test_a_room_that_shrank_takes_no_more_than_it_holds(case):
     """Guards against starts by a room that a worker no longer has."""
     bench = test_fleet_state.Bench(fleetfakes.entry(0))
-    one = messages.Step(1, messages.Room(1000, 10))
+    one = messages.Step(1, messages.Resources(1000, 10))
     bench.add(fleetfakes.job("j", one))
     assert bench.place()
     bench.state.add_worker(fleetfakes.entry(0, cpu=case.cpu))
@@ -354,7 +354,7 @@
 def test_a_job_that_is_given_up_tells_why():
     """Guards against a failed job whose caller can't tell its cause."""
     state = progress.JobState(fleetfakes.job("j"), 0)
-    state.occurrence(0)
+    state.create_tasks(0)
     suspected = suspicion.Suspicion()
     suspected.add("i-0", 0.01, likely=True, in_trial=False)
     for worker_id in ("i-1", "i-2"):
@@ -362,8 +362,8 @@
     state.tasks[0, 0][0].suspicion = suspected
     assert state.settle()
     stored = progress.encode_progress(state)
-    assert progress.state_of(stored) == messages.JOB_FAILED
-    assert progress.reason_of(stored) == (
+    assert progress.decode_state(stored) == messages.JOB_FAILED
+    assert progress.decode_failure_reason(stored) == (
         "task 0.0.0 crashed the workers that started it: i-0, i-1, i-2")
 
 
@@ -373,17 +373,17 @@
     for number, job_id in enumerate("ab"):
         bench.add(fleetfakes.job(job_id, SHORT), 21 + number)
         job = bench.state.jobs[job_id]
-        job.occurrence(0)
+        job.create_tasks(0)
         [task] = job.tasks[0, 0]
         task.suspicion = suspicion.Suspicion(["i-9"], [0.01], likely=True)
-        job.on_trial = {task.task: "i-5"}
-        job.stored_trials = dict(job.on_trial)
+        job.quarantine_workers = {task.task: "i-5"}
+        job.stored_quarantine_workers = dict(job.quarantine_workers)
         bench.state.trials.inherit(job, bench.now)
     for _ in range(30):
         bench.place()
         report_all(bench)
         for job in bench.state.jobs.values():
-            job.stored_trials = dict(job.on_trial)
+            job.stored_quarantine_workers = dict(job.quarantine_workers)
     assert all(task.phase == progress.RUNNING
                for job in bench.state.jobs.values()
                for task in job.all_tasks())
--- a/tests/test_fleet_headroom.py
+++ b/tests/test_fleet_headroom.py
@@ -14,8 +14,8 @@
 from tests import test_fleet_state
 
 WORKERS = 20
-CAPACITY = messages.Room(32_000, 128_000)
-LASTING = messages.Step(6, messages.Room(6400, 13_000), perpetual=True)
+CAPACITY = messages.Resources(32_000, 128_000)
+LASTING = messages.Step(6, messages.Resources(6400, 13_000), perpetual=True)
 # An urgent task is to start within this.
 URGENT_S = 1.1
 SHORT_S = 0.6
@@ -60,7 +60,7 @@
         self.came[job] = self.bench.now
         step = messages.Step(
             self.rng.randint(1, 11),
-            messages.Room(self.rng.randint(1500, 4500), 6000),
+            messages.Resources(self.rng.randint(1500, 4500), 6000),
             estimate_ms=int(SHORT_S * 1000))
         self.bench.add(fleetfakes.job(job, step), 200 + self.jobs)
 
@@ -164,7 +164,7 @@
     state = fleet.bench.state.jobs[job]
     first, last = state.tasks[0, 0][0], state.tasks[0, 0][-1]
     # As if the one with the highest index had run in place of the first.
-    last.ran, first.ran = True, False
+    last.has_run, first.has_run = True, False
     fleet.bench.end(first.worker_id, str(first.task), 1, "lapsed")
     assert any(p.startswith(str(last.task)) for p in fleet.bench.place())
 
@@ -174,7 +174,7 @@
     bench = test_fleet_state.Bench(*(
         fleetfakes.entry(n, capacity=CAPACITY) for n in range(4)))
     bench.add(fleetfakes.job("patient", messages.Step(
-        16, messages.Room(8000, 10)), queue="renewals", priority=2))
+        16, messages.Resources(8000, 10)), queue="renewals", priority=2))
     bench.place()
     bench.add(fleetfakes.job("lasting", LASTING), 21)
     bench.place()
@@ -186,7 +186,7 @@
     learnt = demand.Demand()
     learnt.begin(-1e6)
     learnt.faded = 0.0
-    step = messages.Step(8, messages.Room(3000, 10), estimate_ms=900)
+    step = messages.Step(8, messages.Resources(3000, 10), estimate_ms=900)
     for n in range(100):
         learnt.add_job(fleetfakes.job(f"s{n}", step, priority=2), 0.3 * n)
     capacity = 1e6
@@ -206,7 +206,7 @@
     learnt = demand.Demand()
     learnt.begin(-1e6)
     learnt.faded = 0.0
-    step = messages.Step(count, messages.Room(3000, 10), estimate_ms=1000)
+    step = messages.Step(count, messages.Resources(3000, 10), estimate_ms=1000)
     learnt.add_run("checks", seconds)
     for n in range(int(120 * per_s)):
         learnt.add_job(fleetfakes.job(f"s{n}", step), n / per_s)
@@ -216,7 +216,7 @@
 def test_room_kept_is_bounded_and_forgotten():
     learnt = demand.Demand()
     learnt.begin(0.0)
-    step = messages.Step(36, messages.Room(9000, 10), estimate_ms=9000)
+    step = messages.Step(36, messages.Resources(9000, 10), estimate_ms=9000)
     for n in range(200):
         learnt.add_job(fleetfakes.job(f"s{n}", step), 0.01 * n)
     assert learnt.room(0, 1e6, 2.0) == demand.MOST_SHARE * 1e6
@@ -227,7 +227,7 @@
     workers = [workerstate.WorkerState(fleetfakes.entry(
         n, capacity=CAPACITY)) for n in range(4)]
     learnt = demand.Demand()
-    wide = messages.Step(8, messages.Room(30_000, 10), estimate_ms=9000)
+    wide = messages.Step(8, messages.Resources(30_000, 10), estimate_ms=9000)
     learnt.add_job(fleetfakes.job("s", wide), 1.0)
     room = headroom.Headroom(workers, learnt, 0, 1.0)
     assert room.allowed(
@@ -245,7 +245,7 @@
     """
     bench = test_fleet_state.Bench(fleetfakes.entry(0))
     bench.add(fleetfakes.job("j", messages.Step(
-        1, messages.Room(1000, 10), estimate_ms=900)), created)
+        1, messages.Resources(1000, 10), estimate_ms=900)), created)
     bench.place()
     assert bool(bench.state.demand.arrivals) is known
 
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -6,13 +6,13 @@
 import pytest
 
 from sycamorefield.fleet import clock
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import link as link_mod
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import owner as owner_mod
 from sycamorefield.fleet import progress
 from sycamorefield.fleet import rounds
 from sycamorefield.fleet import state as state_mod
-from sycamorefield.fleet import surroundings
 from sycamorefield.fleet import workerstate
 from tests import fleetfakes
 from tests import test_fleet_state
@@ -27,7 +27,7 @@
 
     def start(self, order, fence, lease_end_ms):
         self.on_start()
-        raise surroundings.CallFailed("no answer")
+        raise interfaces.CallFailed("no answer")
 
 
 @pytest.fixture(name="bench")
@@ -48,7 +48,7 @@
     def renew(self, fence, recorded_upto, lease_end_ms, wait_ms):
         self.refusals += 1
         assert self.refusals < 20, "asked for ever"
-        raise surroundings.NobodyListens("connection refused")
+        raise interfaces.ConnectionRefused("connection refused")
 
 
 def make_link(bench, worker):
@@ -95,13 +95,13 @@
     """A round may hold the lock for a second, and the owner step down."""
     worker = fleetfakes.MemoryWorker("i-0")
     owner = owner_mod.Owner(
-        fleetfakes.MemoryStore(), fleetfakes.MemoryRoster(()),
+        fleetfakes.MemoryStore(), fleetfakes.MemoryWorkerList(()),
         lambda entry: worker, fleetfakes.configuration, 5, 6000.0)
     checked = threading.Event()
 
     def may_act():
         checked.set()
-        return not owner.over.is_set()
+        return not owner.ended_run.is_set()
 
     link = make_link(bench, worker)
     link.may_act, link.may_lease = may_act, owner.may_lease
@@ -163,7 +163,7 @@
     bench.place()
     worker = fleetfakes.MemoryWorker("i-0")
     link = make_link(bench, worker)
-    link._nobody_listens(surroundings.NobodyListens("connection refused"))
+    link._nobody_listens(interfaces.ConnectionRefused("connection refused"))
     assert "i-0" in bench.state.workers
 
 
@@ -189,7 +189,7 @@
     def stop(self, order, fence):
         if self.unanswered:
             self.unanswered -= 1
-            raise surroundings.CallFailed("no answer")
+            raise interfaces.CallFailed("no answer")
         return super().stop(order, fence)
 
 
@@ -211,12 +211,12 @@
     thread = threading.Thread(target=link._orders)
     thread.start()
     for _ in range(500):
-        if worker.over:
+        if worker.ended_run:
             break
         time.sleep(0.01)
     link.close()
     thread.join(5)
-    assert worker.over == {task.task: task.run}
+    assert worker.ended_run == {task.task: task.run}
 
 
 def test_a_stop_without_answer_does_not_hold_up_other_orders(bench):
@@ -232,9 +232,9 @@
     thread = threading.Thread(target=link._orders)
     thread.start()
     for _ in range(200):
-        if worker.paces:
+        if worker.pace_orders:
             break
         time.sleep(0.01)
     link.close()
     thread.join(5)
-    assert worker.paces
+    assert worker.pace_orders
--- a/tests/test_fleet_machine.py
+++ b/tests/test_fleet_machine.py
@@ -19,6 +19,7 @@
 from sycamorefield.fleet import answers
 from sycamorefield.fleet import clock
 from sycamorefield.fleet import crashes
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import operatorview
 from sycamorefield.fleet import owner as owner_mod
@@ -30,7 +31,6 @@
 from sycamorefield.fleet import reports
 from sycamorefield.fleet import rounds
 from sycamorefield.fleet import state as state_mod
-from sycamorefield.fleet import surroundings
 from sycamorefield.fleet import workerstate
 from tests import fleetfakes
 
@@ -57,12 +57,12 @@
 FATES = strategies.sampled_from(
     ["answered", "answered", "answer lost", "lost", "late"])
 STEPS = (
-    (messages.Step(2, messages.Room(2500, 10)),),
-    (messages.Step(3, messages.Room(1500, 10)),
-     messages.Step(1, messages.Room(3000, 10), after=(0,))),
-    (messages.Step(2, messages.Room(2000, 10), gang=True),),
-    (messages.Step(2, messages.Room(2000, 10), perpetual=True),),
-    (messages.Step(2, messages.Room(1000, 10), checkpoint=True),),
+    (messages.Step(2, messages.Resources(2500, 10)),),
+    (messages.Step(3, messages.Resources(1500, 10)),
+     messages.Step(1, messages.Resources(3000, 10), after=(0,))),
+    (messages.Step(2, messages.Resources(2000, 10), gang=True),),
+    (messages.Step(2, messages.Resources(2000, 10), perpetual=True),),
+    (messages.Step(2, messages.Resources(1000, 10), checkpoint=True),),
 )
 
 
@@ -96,7 +96,7 @@
         self.rooms = [(-100.0, entry.capacity.cpu)]
         self.fence = 0
         self.lease_end_ms = 0.0
-        self.runs: dict[tuple[messages.TaskId, int], messages.Room] = {}
+        self.runs: dict[tuple[messages.TaskId, int], messages.Resources] = {}
         self.over: dict[messages.TaskId, int] = {}
         self.ended: list[messages.EndedTask] = []
         self.number = 0
@@ -231,7 +231,7 @@
             process.view.owner = self.store.items.get(records.OWNER_KEY)
             try:
                 fence = process._claim()
-            except surroundings.CallFailed:
+            except interfaces.CallFailed:
                 continue
         return fence
 
@@ -289,11 +289,11 @@
 
     def _expect_workers(self) -> None:
         in_use: dict[str, str] = {}
-        item = self.store.items.get(records.FLEET_KEY)
+        item = self.store.items.get(records.WORKERS_KEY)
         if item is not None:
             in_use = records.decode_mapping(item.value)
-            self.recorder.revisions[records.FLEET_KEY] = item.revision
-            self.recorder.addresses = in_use
+            self.recorder.revisions[records.WORKERS_KEY] = item.revision
+            self.recorder.stored_addresses = in_use
         self.fleet.expect(in_use, self.now + recovery.WITHOUT_STORE_S
                           + workerstate.LEASE_OVER_S)
         self._read_list()
@@ -328,7 +328,7 @@
         if not worker.alive:
             return "gone"
         if sent.fence < worker.fence:
-            return surroundings.FENCED
+            return interfaces.FENCED
         worker.fence = sent.fence
         order = sent.order
         if isinstance(order, messages.PaceOrder):
@@ -349,9 +349,9 @@
         task, run = key
         if (run <= worker.over.get(task, 0)
                 or any(t == task for t, _ in worker.runs)):
-            return surroundings.OLD_RUN
+            return interfaces.STALE_RUN
         if sent.until_ms <= self.now * 1000.0:
-            return surroundings.LATE
+            return interfaces.LATE
         worker.lease_end_ms = max(worker.lease_end_ms, sent.until_ms)
         step = self._job(task).steps[task.step]
         worker.runs[key] = step.reserved()
@@ -528,7 +528,7 @@
         with self._as_earlier():
             self._hear([worker], [])
 
-    @stateful.precondition(lambda self: self.store.late)
+    @stateful.precondition(lambda self: self.store.delayed)
     @stateful.rule()
     def late_commits_arrive(self) -> None:
         self.store.deliver_late()
@@ -608,7 +608,7 @@
             answers.uncertain(self.fleet, sent.worker_id, order)
             return
         reason = self._carry_out(sent)
-        if reason == surroundings.FENCED:
+        if reason == interfaces.FENCED:
             self._step_down()
         elif fate == "answer lost" or reason == "gone":
             answers.uncertain(self.fleet, sent.worker_id, order)
@@ -669,7 +669,7 @@
             outcome = self.recorder._commit(commit.values)
         if not self.acting:
             return
-        self.commit = (commit if outcome is recorder_mod.Outcome.DEPOSED
+        self.commit = (commit if outcome is recorder_mod.Outcome.OWNERSHIP_LOST
                        else None)
         if outcome is recorder_mod.Outcome.STORED:
             self._forget_ends(commit.marks)
@@ -771,7 +771,7 @@
 
     def _change_room(self, worker: SimulatedWorker, cpu: int) -> None:
         worker.entry = dataclasses.replace(
-            worker.entry, capacity=messages.Room(cpu, 16_000, 0))
+            worker.entry, capacity=messages.Resources(cpu, 16_000, 0))
         worker.rooms.append((self.now, cpu))
 
     @stateful.precondition(lambda self: self.acting and not self.silent)
--- a/tests/test_fleet_misses.py
+++ b/tests/test_fleet_misses.py
@@ -39,8 +39,8 @@
         rng = self.rng
         self.created += 1
         kind = rng.choice(("short", "short", "filling", "lasting"))
-        room = messages.Room(rng.randrange(500, 6000, 250),
-                             rng.choice((500, 2000)))
+        room = messages.Resources(rng.randrange(500, 6000, 250),
+                                  rng.choice((500, 2000)))
         step = {
             "short": messages.Step(rng.randrange(1, 6), room,
                                    estimate_ms=800,
--- a/tests/test_fleet_ordering.py
+++ b/tests/test_fleet_ordering.py
@@ -30,7 +30,7 @@
 ])
 def test_lateness_follows_from_what_is_left(waited_ms, first_done, expected):
     job = state("j", 0.0)
-    job.occurrence(0)
+    job.create_tasks(0)
     job.tasks[0, 0][0].done = first_done
     assert ordering.lateness(job, QUEUES["checks"], waited_ms) == expected
 
@@ -58,8 +58,8 @@
 
 def lasting_job(name, created, ran):
     job = state(name, 0.0, messages.Step(2, perpetual=True), created=created)
-    job.occurrence(0)
-    job.tasks[0, 0][0].ran = ran
+    job.create_tasks(0)
+    job.tasks[0, 0][0].has_run = ran
     job.tasks[0, 0][1].phase = progress.RUNNING
     return job
 
--- a/tests/test_fleet_orders.py
+++ b/tests/test_fleet_orders.py
@@ -15,7 +15,7 @@
 from tests import fleetfakes
 from tests import test_fleet_state
 
-NARROW = messages.Step(60, messages.Room(100, 10))
+NARROW = messages.Step(60, messages.Resources(100, 10))
 
 
 def roomy_bench(workers: int = 1) -> test_fleet_state.Bench:
@@ -63,7 +63,7 @@
     """Stop no run for a task that has room as soon as orders are out."""
     bench = roomy_bench()
     bench.add(fleetfakes.job("patient", messages.Step(
-        1, messages.Room(90_000, 10)), queue="renewals", priority=2))
+        1, messages.Resources(90_000, 10)), queue="renewals", priority=2))
     bench.place()
     bench.add(fleetfakes.job("urgent", NARROW), 21)
     rounds.place(bench.state, bench.now, 0)
@@ -158,7 +158,7 @@
     monkeypatch.setattr(link_mod.WorkerLink, "start", lambda self: None)
     entries = tuple(fleetfakes.entry(n) for n in range(28))
     owner = owner_mod.Owner(
-        fleetfakes.MemoryStore(), fleetfakes.MemoryRoster(entries),
+        fleetfakes.MemoryStore(), fleetfakes.MemoryWorkerList(entries),
         lambda entry: fleetfakes.MemoryWorker(entry.worker_id),
         fleetfakes.configuration, 5, 6000.0)
     lock = owner.fleet.lock = CountingLock(owner.fleet.lock)
@@ -177,7 +177,7 @@
     """
     store = fleetfakes.MemoryStore()
     owner = owner_mod.Owner(
-        store, fleetfakes.MemoryRoster(()), lambda entry: None,
+        store, fleetfakes.MemoryWorkerList(()), lambda entry: None,
         fleetfakes.configuration, 5, 6000.0)
     placed = []
     monkeypatch.setattr(rounds, "place",
--- a/tests/test_fleet_ownership.py
+++ b/tests/test_fleet_ownership.py
@@ -207,7 +207,7 @@
         store, fleet, records.OWNER_KEY, lambda: True, lambda _: None,
         seen.append)
     fleet.add_worker(fleetfakes.entry(0))
-    recorder.addresses = {"i-0": fleetfakes.entry(0).address}
+    recorder.stored_addresses = {"i-0": fleetfakes.entry(0).address}
     recorder.counted_at = time.monotonic()
     fleet.workers["i-0"].processed = 7
     fleet.add_job(fleetfakes.job("j"), 5).dirty = True
--- a/tests/test_fleet_review.py
+++ b/tests/test_fleet_regressions.py
@@ -7,6 +7,7 @@
 
 from sycamorefield.fleet import answers
 from sycamorefield.fleet import clock
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import ordering
 from sycamorefield.fleet import owner as owner_mod
@@ -14,7 +15,6 @@
 from sycamorefield.fleet import progress
 from sycamorefield.fleet import recorder as recorder_mod
 from sycamorefield.fleet import rounds
-from sycamorefield.fleet import surroundings
 from sycamorefield.fleet import workerstate
 from tests import fleetfakes
 from tests import test_fleet_state
@@ -25,7 +25,7 @@
 def hold_back(bench: test_fleet_state.Bench) -> None:
     """Give the roomiest worker all the starts that may wait to be sent."""
     bench.add(fleetfakes.job("first", messages.Step(
-        workerstate.UNSENT_STARTS, messages.Room(100, 10))))
+        workerstate.UNSENT_STARTS, messages.Resources(100, 10))))
     rounds.place(bench.state, bench.now, 0)
 
 
@@ -55,16 +55,16 @@
         bench = test_fleet_state.Bench(
             *(fleetfakes.entry(n) for n in range(WORKERS)),
             fleetfakes.entry(WORKERS, cpu=20_000),
-            policy=fleetfakes.NO_ROOM_KEPT)
+            policy=fleetfakes.NO_RESERVED_CAPACITY)
         bench.add(fleetfakes.job("lasting", messages.Step(
-            WORKERS, messages.Room(3900, 10), perpetual=True,
+            WORKERS, messages.Resources(3900, 10), perpetual=True,
             max_per_worker=1)), 19)
         while bench.place():
             pass
         hold_back(bench)
         for n in range(jobs):
             bench.add(fleetfakes.job(f"j{n}", messages.Step(
-                3, messages.Room(1000 + n, 10))), 30 + n)
+                3, messages.Resources(1000 + n, 10))), 30 + n)
         looks.clear()
         rounds.place(bench.state, bench.now, 0)
         costs.append(len(looks))
@@ -86,18 +86,18 @@
     bench = test_fleet_state.Bench(
         fleetfakes.entry(0, cpu=3000), fleetfakes.entry(1, cpu=2000))
     bench.add(fleetfakes.job("patient", messages.Step(
-        3, messages.Room(1000, 10), max_per_worker=2), queue="renewals",
+        3, messages.Resources(1000, 10), max_per_worker=2), queue="renewals",
         priority=2), 11)
     while bench.place():
         pass
     # Where the patient runs are: two on i-1 and one on i-0.
     assert len(bench.state.workers["i-1"].tasks) == 2
     bench.add(fleetfakes.job("first", messages.Step(
-        workerstate.UNSENT_STARTS, messages.Room(100, 10))), 12)
+        workerstate.UNSENT_STARTS, messages.Resources(100, 10))), 12)
     rounds.place(bench.state, bench.now, 0)
     assert not bench.state.workers["i-0"].takes_starts()
     bench.add(fleetfakes.job("urgent", messages.Step(
-        urgent, messages.Room(1000, 10))), 21)
+        urgent, messages.Resources(1000, 10))), 21)
     rounds.place(bench.state, bench.now, 0)
     assert least <= len(bench.stops()) <= most
 
@@ -116,14 +116,14 @@
     """
     bench = test_fleet_state.Bench(fleetfakes.entry(0))
     bench.add(fleetfakes.job("fill", messages.Step(
-        1, messages.Room(fill_cpu, 10), fills=True)))
+        1, messages.Resources(fill_cpu, 10), fills=True)))
     bench.add(fleetfakes.job("other", messages.Step(
-        1, messages.Room(other_cpu, 10))), 21)
+        1, messages.Resources(other_cpu, 10))), 21)
     assert bench.place() == ["other.0.0.0@i-0"]
 
 
 @pytest.mark.parametrize("fate", [
-    surroundings.UNHEALTHY, "no lease may be given", "taken back"])
+    interfaces.UNHEALTHY, "no lease may be given", "taken back"])
 def test_a_start_that_failed_does_not_end_the_time_a_task_is_down(fate):
     """Count the time a lasting task is down from its last run.
 
@@ -135,7 +135,7 @@
     """
     bench = test_fleet_state.Bench(fleetfakes.entry(0))
     bench.add(fleetfakes.job("lasting", messages.Step(
-        1, messages.Room(1000, 10), perpetual=True)))
+        1, messages.Resources(1000, 10), perpetual=True)))
     (where,) = bench.place()
     bench.end("i-0", where.split("@")[0], 1, "lapsed")
     down_at = bench.now
@@ -169,11 +169,11 @@
     """
     bench = test_fleet_state.Bench(fleetfakes.entry(0), fleetfakes.entry(1))
     bench.add(fleetfakes.job("long", messages.Step(
-        1, messages.Room(1500, 10), estimate_ms=long_ms)), 11)
+        1, messages.Resources(1500, 10), estimate_ms=long_ms)), 11)
     (where,) = bench.place()
     quick = "i-1" if where.endswith("i-0") else "i-0"
     bench.add(fleetfakes.job("lasting", messages.Step(
-        1, messages.Room(3000, 10), perpetual=True)), 12)
+        1, messages.Resources(3000, 10), perpetual=True)), 12)
     assert bench.place() == [f"lasting.0.0.0@{quick}"]
     bench.end(quick, "lasting.0.0.0", 1, "lapsed")
     down_at = bench.now
@@ -187,7 +187,7 @@
         while len(bench.state.active) < 20:
             jobs += 1
             bench.add(fleetfakes.job(f"short{jobs}", messages.Step(
-                1, messages.Room(1000, 10), estimate_ms=1000,
+                1, messages.Resources(1000, 10), estimate_ms=1000,
                 requires=f"r{quick[-1]}")), 100 + jobs)
         placed = bench.place()
         if any(name.startswith("lasting") for name in placed):
@@ -212,13 +212,13 @@
     """
     bench = test_fleet_state.Bench(fleetfakes.entry(0), fleetfakes.entry(1))
     bench.add(fleetfakes.job("lasting", messages.Step(
-        1, messages.Room(3000, 10), perpetual=True)), 12)
+        1, messages.Resources(3000, 10), perpetual=True)), 12)
     (where,) = bench.place()
     name, first = where.split("@")
     bench.end(first, name, 1, "lapsed")
     lasting = bench.state.jobs["lasting"].tasks[0, 0][0]
     bench.add(fleetfakes.job("narrow", messages.Step(
-        8, messages.Room(1000, 10))), 13)
+        8, messages.Resources(1000, 10))), 13)
     bench.now += 0.5
     lasting.not_before = bench.now + 4.0
     assert len(bench.place()) == 8
@@ -234,7 +234,7 @@
                   messages.DONE, run[1])
 
     bench.add(fleetfakes.job("more", messages.Step(
-        50, messages.Room(1000, 10))), 14)
+        50, messages.Resources(1000, 10))), 14)
     end("i-0")
     end("i-0")
     assert not bench.place()
@@ -261,7 +261,7 @@
     is placed and no news is looked at.  Cause: the pause has no bound.
     """
     owner = owner_mod.Owner(
-        fleetfakes.MemoryStore(), fleetfakes.MemoryRoster(()),
+        fleetfakes.MemoryStore(), fleetfakes.MemoryWorkerList(()),
         lambda entry: None, fleetfakes.configuration, 5, 6000.0)
     placed = []
 
--- a/tests/test_fleet_slowness.py
+++ b/tests/test_fleet_slowness.py
@@ -8,7 +8,7 @@
 from tests import fleetfakes
 from tests import test_fleet_state
 
-ROOM = messages.Room(1000, 1000)
+ROOM = messages.Resources(1000, 1000)
 
 
 @pytest.mark.parametrize(("estimate", "elapsed", "percent", "more", "stuck"), [
@@ -27,7 +27,7 @@
     task = progress.TaskState(messages.TaskId("j", 0, 0, 0), messages.Step(
         1, ROOM, estimate, **more))
     task.phase = progress.RUNNING
-    task.started = 100.0
+    task.started_at = 100.0
     task.percent = percent
     assert slowness.stuck(task, 100.0 + elapsed) is stuck
 
@@ -69,7 +69,7 @@
         self.starts = 0
         # As wide as a worker, so that each task has one for itself.
         self.bench.add(fleetfakes.job("j", messages.Step(
-            width, messages.Room(4000, 10), estimate_ms)))
+            width, messages.Resources(4000, 10), estimate_ms)))
 
     def place(self) -> None:
         before = len(self.bench.orders)
--- a/tests/test_fleet_starvation.py
+++ b/tests/test_fleet_starvation.py
@@ -47,7 +47,7 @@
             self.jobs += 1
             self.bench.add(fleetfakes.job(
                 f"short{self.jobs}",
-                messages.Step(1, messages.Room(self.narrow_cpu, 10))),
+                messages.Step(1, messages.Resources(self.narrow_cpu, 10))),
                 100 + self.jobs)
         placed = self.bench.place()
         for where in placed:
@@ -76,7 +76,7 @@
     """
     stream = Stream(narrow_cpu)
     stream.bench.add(fleetfakes.job("lasting", messages.Step(
-        1, messages.Room(wide_cpu, 10), perpetual=True)))
+        1, messages.Resources(wide_cpu, 10), perpetual=True)))
     (where,) = stream.bench.place()
     stream.end(where, "lapsed")
     down_at = stream.bench.now
@@ -92,7 +92,7 @@
     """Hold back no more than the workers that a lasting task waits for."""
     stream = Stream(1000)
     stream.bench.add(fleetfakes.job("lasting", messages.Step(
-        1, messages.Room(3000, 10), perpetual=True)))
+        1, messages.Resources(3000, 10), perpetual=True)))
     (where,) = stream.bench.place()
     stream.end(where, "lapsed")
     begun = stream.bench.now
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -16,7 +16,7 @@
 from sycamorefield.fleet import workerstate
 from tests import fleetfakes
 
-ROOM = messages.Room(1000, 1000)
+ROOM = messages.Resources(1000, 1000)
 
 
 class Bench:
@@ -72,15 +72,15 @@
 
 
 @pytest.mark.parametrize(("step", "workers", "placed"), [
-    (messages.Step(3, messages.Room(2000, 10)), 1, 2),
-    (messages.Step(3, messages.Room(2000, 10)), 2, 3),
-    (messages.Step(3, messages.Room(10, 9000)), 2, 2),
-    (messages.Step(1, messages.Room(10, 10, 1)), 2, 0),
+    (messages.Step(3, messages.Resources(2000, 10)), 1, 2),
+    (messages.Step(3, messages.Resources(2000, 10)), 2, 3),
+    (messages.Step(3, messages.Resources(10, 9000)), 2, 2),
+    (messages.Step(1, messages.Resources(10, 10, 1)), 2, 0),
     (messages.Step(4, ROOM, max_per_worker=1), 2, 2),
     (messages.Step(1, ROOM, requires="b"), 2, 0),
     (messages.Step(1, ROOM, requires="a"), 2, 1),
-    (messages.Step(3, messages.Room(2000, 10), gang=True), 1, 0),
-    (messages.Step(3, messages.Room(2000, 10), gang=True), 2, 3),
+    (messages.Step(3, messages.Resources(2000, 10), gang=True), 1, 0),
+    (messages.Step(3, messages.Resources(2000, 10), gang=True), 2, 3),
 ], ids=["cpu", "cpu-two", "memory", "gpu", "per-worker", "label-missing",
         "label", "gang-none", "gang-all"])
 def test_no_worker_is_filled_beyond_its_room_or_rules(step, workers, placed):
@@ -98,11 +98,11 @@
     """
     bench = Bench(fleetfakes.entry(0))
     bench.add(fleetfakes.job("j", messages.Step(
-        1, messages.Room(4000, 10))))
+        1, messages.Resources(4000, 10))))
     assert bench.place() == ["j.0.0.0@i-0"]
     bench.state.cancel("j")
     bench.add(fleetfakes.job("k", messages.Step(
-        1, messages.Room(4000, 10))), 21)
+        1, messages.Resources(4000, 10))), 21)
     assert not bench.place()
     bench.end("i-0", "j.0.0.0", 1, "stopped")
     assert bench.place() == ["k.0.0.0@i-0"]
@@ -111,11 +111,11 @@
 def test_urgent_task_gets_room_from_a_patient_one_that_resumes():
     bench = Bench(fleetfakes.entry(0))
     bench.add(fleetfakes.job("patient", messages.Step(
-        2, messages.Room(2000, 10), checkpoint=True), queue="renewals",
+        2, messages.Resources(2000, 10), checkpoint=True), queue="renewals",
         priority=2))
     assert len(bench.place()) == 2
     bench.add(fleetfakes.job("urgent", messages.Step(
-        1, messages.Room(2000, 10))), 21)
+        1, messages.Resources(2000, 10))), 21)
     bench.place()
     assert len(bench.stops()) == 1
     bench.place()
@@ -364,8 +364,8 @@
 
 
 @pytest.mark.parametrize("step", [
-    messages.Step(1, messages.Room(3000, 10)),
-    messages.Step(2, messages.Room(3000, 10), gang=True)],
+    messages.Step(1, messages.Resources(3000, 10)),
+    messages.Step(2, messages.Resources(3000, 10), gang=True)],
     ids=["single", "gang"])
 @pytest.mark.parametrize("fences", [(10, 20), (10, 11, 12), (10, 20, 90)])
 def test_no_worker_refuses_a_run_as_one_of_an_earlier_term(step, fences):
@@ -392,14 +392,14 @@
     job = fleetfakes.job("j", messages.Step(3, ROOM), messages.Step(
         2, ROOM, after=(0,), checkpoint=True))
     first = progress.JobState(job, 5)
-    first.occurrence(0)
+    first.create_tasks(0)
     first.state = state
     tasks = first.tasks[0, 0]
     tasks[1].done = True
     tasks[2].failed_runs = {1, 4}
     tasks[2].last_run = 4
     tasks[0].saved = "abc"
-    tasks[0].ran = True
+    tasks[0].has_run = True
     second = progress.JobState(progress.decode_job(
         progress.encode_job(job)), 5)
     progress.apply_progress(second, progress.encode_progress(first))
@@ -411,7 +411,7 @@
         assert again[2].failed_runs == {1, 4}
         assert again[2].last_run == 4
         assert again[0].saved == "abc"
-        assert [t.ran for t in again] == [True, False, False]
+        assert [t.has_run for t in again] == [True, False, False]
 
 
 @pytest.mark.parametrize(("tail_ms", "placed"), [(10.0, 1), (40.0, 0)],
@@ -425,14 +425,14 @@
     """
     bench = Bench(fleetfakes.entry(0))
     bench.add(fleetfakes.job("lasting", messages.Step(
-        1, messages.Room(3000, 10), perpetual=True, image="s",
+        1, messages.Resources(3000, 10), perpetual=True, image="s",
         target_ms=1000.0)))
     bench.place()
     name = messages.TaskId("lasting", 0, 0, 0)
     for figure in (10.0, tail_ms):
         bench.report("i-0", [messages.RunningTask(name, 1, "", 100, figure)])
     bench.add(fleetfakes.job("filling", messages.Step(
-        1, messages.Room(2000, 10), fills=True, image="f")))
+        1, messages.Resources(2000, 10), fills=True, image="f")))
     assert len(bench.place()) == placed
 
 
@@ -491,12 +491,12 @@
     """One that is down must come back, not wait as one that is new does."""
     bench = Bench(fleetfakes.entry(0))
     bench.add(fleetfakes.job("j", messages.Step(
-        1, messages.Room(1000, 1000), perpetual=True)), created=5)
+        1, messages.Resources(1000, 1000), perpetual=True)), created=5)
     if how:
         bench.end("i-0", "j.0.0.0", 1, how)
     else:
         bench.report("i-0", [messages.RunningTask(
             messages.TaskId("j", 0, 0, 0), 1, "", 0, 0.0)])
     job = bench.state.jobs["j"]
-    assert job.tasks[0, 0][0].ran
+    assert job.tasks[0, 0][0].has_run
     assert job.dirty
--- a/tests/test_fleet_takeover.py
+++ b/tests/test_fleet_takeover.py
@@ -7,6 +7,7 @@
 import pytest
 
 from sycamorefield.fleet import clock
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import link as link_mod
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import operatorview
@@ -16,13 +17,12 @@
 from sycamorefield.fleet import records
 from sycamorefield.fleet import recovery
 from sycamorefield.fleet import state as state_mod
-from sycamorefield.fleet import surroundings
 from tests import fleetfakes
 
 HOLD_MAX_MS = 6000.0
 CONFIG_KEY = "op/c"
 WAIT_S = 5.0
-STEP = messages.Step(1, messages.Room(1000, 1000))
+STEP = messages.Step(1, messages.Resources(1000, 1000))
 
 
 class Fleet:
@@ -31,7 +31,7 @@
     def __init__(self, workers: int = 2) -> None:
         self.store = fleetfakes.MemoryStore()
         entries = [fleetfakes.entry(n) for n in range(workers)]
-        self.roster = fleetfakes.MemoryRoster(entries)
+        self.roster = fleetfakes.MemoryWorkerList(entries)
         self.workers = {e.worker_id: fleetfakes.MemoryWorker(e.worker_id)
                         for e in entries}
         self.owner: owner_mod.Owner | None = None
@@ -70,7 +70,7 @@
     def state(self, job_id: str) -> str:
         """Return the stored state of a job."""
         item = self.store.items.get(records.progress_key(job_id))
-        return progress.state_of(item.value) if item else ""
+        return progress.decode_state(item.value) if item else ""
 
 
 def wait_for(what: typing.Callable[[], bool]) -> None:
@@ -100,7 +100,8 @@
 def test_job_runs_step_after_step_and_completes(fleet):
     fleet.take_over()
     fleet.submit(fleetfakes.job(
-        "j", STEP, messages.Step(1, messages.Room(1000, 1000), after=(0,))))
+        "j", STEP, messages.Step(1, messages.Resources(1000, 1000),
+                                 after=(0,))))
     wait_for(lambda: fleet.running() == ["j.0.0.0"])
     finish(fleet, "j.0.0.0")
     wait_for(lambda: fleet.running() == ["j.0.1.0"])
@@ -134,7 +135,7 @@
     """
     fleet.take_over()
     fleet.submit(fleetfakes.job("a", messages.Step(
-        2, messages.Room(1000, 1000))))
+        2, messages.Resources(1000, 1000))))
     wait_for(lambda: len(fleet.running()) == 2)
     fleet.owner.step_down("killed")
     finish(fleet, "a.0.0.1")
@@ -156,12 +157,12 @@
     wait_for(lambda: fleet.running() == ["a.0.0.0"])
     holder = next(w for w in fleet.workers.values() if w.runs)
     fleet.owner.step_down("killed")
-    holder.mute = True
+    holder.unresponsive = True
     fleet.take_over()
     fleet.submit(fleetfakes.job("b"))
     wait_for(lambda: "b.0.0.0" in fleet.running())
     assert fleet.starts().count("a.0.0.0") == 1
-    holder.mute = False
+    holder.unresponsive = False
     wait_for(lambda: not fleet.owner.fleet.unheard)
     assert fleet.starts().count("a.0.0.0") == 1
 
@@ -176,7 +177,7 @@
     fleet.submit(fleetfakes.job("a"))
     wait_for(lambda: fleet.running() == ["a.0.0.0"])
     holder = next(w for w in fleet.workers.values() if w.runs)
-    holder.dead = True
+    holder.restarted = True
     wait_for(lambda: fleet.starts().count("a.0.0.0") == 2)
 
 
@@ -232,10 +233,10 @@
     with what is stored.
     """
     fleet.store.commit(messages.Transaction(puts=(messages.Put(
-        records.WAITING_KEY, records.encode_counts({"checks": 3})),)))
+        records.WAITING_JOBS_KEY, records.encode_counts({"checks": 3})),)))
     fleet.take_over()
     wait_for(lambda: records.decode_mapping(
-        fleet.store.items[records.WAITING_KEY].value) == {})
+        fleet.store.items[records.WAITING_JOBS_KEY].value) == {})
 
 
 def test_workers_keep_ends_while_the_store_is_away(fleet):
@@ -276,7 +277,7 @@
     again = fleetfakes.entry(0).worker_id + "-again"
     fleet.workers[again] = fleetfakes.MemoryWorker(again)
     fleet.store.commit(messages.Transaction(puts=(messages.Put(
-        records.FLEET_KEY, records.encode_addresses(
+        records.WORKERS_KEY, records.encode_addresses(
             {again: fleetfakes.entry(0).address})),)))
     task = messages.TaskId("a", 0, 0, 0)
     fleet.submit(fleetfakes.job("a"))
@@ -342,7 +343,7 @@
     state.add_worker(entry)
     state.leased_until = clock.now() - 1.0
     job = state.add_job(fleetfakes.job("a"), 6)
-    job.occurrence(0)
+    job.create_tasks(0)
     task = job.tasks[0, 0][0]
     state.start(job, task, state.workers[entry.worker_id], 1)
     assert not orders and task.phase == progress.IDLE
@@ -373,12 +374,12 @@
         monkeypatch.setattr(fleet.store, "commit", commit)
         owner.roster.take_entries(fleet.roster.entries)
         enrolled.append(owner.fleet.workers["i-0"].enrolled)
-        raise surroundings.CallFailed("no answer")
+        raise interfaces.CallFailed("no answer")
 
     monkeypatch.setattr(fleet.store, "commit", unanswered)
     assert owner.recorder.flush()
     assert "i-0" not in records.decode_mapping(
-        fleet.store.items[records.FLEET_KEY].value)
+        fleet.store.items[records.WORKERS_KEY].value)
     assert enrolled == [False]
     assert not owner.fleet.workers["i-0"].enrolled
     assert owner.recorder.flush()
@@ -448,13 +449,13 @@
     contender.lose_the_store()
     if case.ended:
         finish(fleet, "a.0.0.0")
-    holder.mute = not case.holder_answers
+    holder.unresponsive = not case.holder_answers
     fleet.store.refuse = False
     wait_for(lambda: fleet.owner is not first and fleet.owner.recovered)
     fleet.submit(fleetfakes.job("b"))
     wait_for(lambda: "b.0.0.0" in fleet.running())
     assert fleet.starts().count("a.0.0.0") == 1
     assert fleet.owner.fence > first.fence
-    holder.mute = False
+    holder.unresponsive = False
     wait_for(lambda: not fleet.owner.fleet.unheard)
     assert fleet.starts().count("a.0.0.0") == 1
--- a/tests/test_fleet_terms.py
+++ b/tests/test_fleet_terms.py
@@ -32,7 +32,7 @@
     bench.state.enrol(["i-0"])
     bench.state.expect(["i-0"], bench.now + 10.0)
     bench.add(fleetfakes.job("old", messages.Step(
-        reports.ENDS_PER_REPORT + 1, messages.Room(1, 1))), created=5)
+        reports.ENDS_PER_REPORT + 1, messages.Resources(1, 1))), created=5)
     ends = [messages.EndedTask(n + 1, messages.TaskId("old", 0, 0, n), 1,
                                messages.DONE, "")
             for n in range(reports.ENDS_PER_REPORT + 1)]
@@ -121,7 +121,7 @@
     store = fleetfakes.MemoryStore()
     made = []
 
-    class Unreadable(fleetfakes.MemoryRoster):
+    class Unreadable(fleetfakes.MemoryWorkerList):
         def workers(self):
             raise RuntimeError("unforeseen")
 
@@ -201,8 +201,8 @@
     store = SlowCommit()
     store.commit(messages.Transaction(
         puts=(messages.Put(records.OWNER_KEY, b"me"),)))
-    fleet = fleetfakes.MemoryRoster([fleetfakes.entry(0),
-                                     fleetfakes.entry(1)])
+    fleet = fleetfakes.MemoryWorkerList([fleetfakes.entry(0),
+                                         fleetfakes.entry(1)])
     workers = {e.worker_id: fleetfakes.MemoryWorker(e.worker_id)
                for e in fleet.entries}
     owner = owner_mod.Owner(
@@ -223,7 +223,7 @@
 
         store.meanwhile = listed_still
         assert owner.recorder.flush()
-        stored = records.decode_mapping(store.items[records.FLEET_KEY].value)
+        stored = records.decode_mapping(store.items[records.WORKERS_KEY].value)
         used = {worker_id for worker_id, w in owner.fleet.workers.items()
                 if w.usable(clock.now())}
         assert used <= set(stored)
@@ -238,7 +238,7 @@
     meanwhile = None
 
     def commit(self, transaction):
-        ours = any(put.key == records.FLEET_KEY and self.removed
+        ours = any(put.key == records.WORKERS_KEY and self.removed
                    and self.removed not in records.decode_mapping(put.value)
                    for put in transaction.puts)
         if ours:
@@ -258,7 +258,7 @@
         wait_for(lambda: all(w.usable(clock.now())
                              for w in fleet.owner.fleet.workers.values()))
         fleet.submit(fleetfakes.job("fill", messages.Step(
-            1, messages.Room(4000, 10), requires="r1")))
+            1, messages.Resources(4000, 10), requires="r1")))
         wait_for(lambda: fleet.running() == ["fill.0.0.0"])
 
         def comes_back():
@@ -275,7 +275,7 @@
             fleet.store.removed = "i-0"
         wait_for(lambda: fleet.store.refuse)
         fleet.owner.step_down("killed")
-        fleet.workers["i-0"].mute = True
+        fleet.workers["i-0"].unresponsive = True
         test_fleet_takeover.finish(fleet, "fill.0.0.0")
         fleet.store.refuse = False
         fleet.take_over()
--- a/tests/test_fleet_usage.py
+++ b/tests/test_fleet_usage.py
@@ -19,9 +19,9 @@
 from tests import fleetfakes
 from tests import test_fleet_takeover
 
-NARROW = messages.Step(1, messages.Room(1000, 10))
-WIDE = messages.Step(1, messages.Room(3000, 10), perpetual=True)
-SECOND_WIDE = messages.Step(2, messages.Room(3500, 10), perpetual=True)
+NARROW = messages.Step(1, messages.Resources(1000, 10))
+WIDE = messages.Step(1, messages.Resources(3000, 10), perpetual=True)
+SECOND_WIDE = messages.Step(2, messages.Resources(3500, 10), perpetual=True)
 
 
 @pytest.fixture(name="lines")
@@ -59,8 +59,8 @@
     for task in state.all_tasks():
         worker = fleet.workers[task.worker_id]
         worker.release((task.task, task.run), task.step)
-        task.idle()
-    state.down_for(100.0)
+        task.reset_run()
+    state.downtime_s(100.0)
 
 
 @pytest.mark.parametrize(("steps", "down", "longest_s", "widest", "waiting"), [
@@ -159,7 +159,7 @@
     ids=["none", "one", "full", "two-lines"])
 def test_ordered_runs_share_lines(lines, count, sizes):
     fleet = make_fleet(1)
-    step = messages.Step(count, messages.Room(1, 1))
+    step = messages.Step(count, messages.Resources(1, 1))
     if count:
         fleet.add_job(fleetfakes.job("j", step), 20)
     lines.clear()
@@ -184,7 +184,7 @@
 def test_ended_runs_share_a_line_for_each_way_to_end(lines, hows):
     fleet = make_fleet(1)
     fleet.add_job(fleetfakes.job("j", messages.Step(
-        len(hows), messages.Room(1, 1))), 20)
+        len(hows), messages.Resources(1, 1))), 20)
     rounds.place(fleet, 100.0, 1e12)
     fleet.run_log.flush()
     lines.clear()
@@ -291,7 +291,7 @@
     owner = fleet.take_over()
     owner.usage = usage.measure(owner.fleet, clock.now())
     state = progress.JobState(fleetfakes.job("j", priority=2), 1)
-    state.occurrence(0)
+    state.create_tasks(0)
     with owner.fleet.lock:
         owner.fleet.active["j"] = state
     try:
--- a/tests/test_fleet_workload.py
+++ b/tests/test_fleet_workload.py
@@ -14,13 +14,13 @@
     """Fill all workers with lasting tasks; let jobs wait, each of a width."""
     bench = test_fleet_state.Bench(
         *(fleetfakes.entry(n) for n in range(WORKERS)),
-        policy=fleetfakes.NO_ROOM_KEPT)
+        policy=fleetfakes.NO_RESERVED_CAPACITY)
     bench.add(fleetfakes.job("lasting", messages.Step(
-        WORKERS, messages.Room(3900, 10), perpetual=True)))
+        WORKERS, messages.Resources(3900, 10), perpetual=True)))
     bench.place()
     for n in range(jobs):
         bench.add(fleetfakes.job(f"j{n}", messages.Step(
-            3, messages.Room(1000 + n, 10))), 30 + n)
+            3, messages.Resources(1000 + n, 10))), 30 + n)
     bench.place()
     return bench
 
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -14,9 +14,9 @@
 import pytest
 
 from sycamorefield.fleet import intake as intake_mod
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import records
-from sycamorefield.fleet import surroundings
 from sycamorefield.platform import bootsettings
 from sycamorefield.platform import calls
 from sycamorefield.platform import configuration
@@ -67,7 +67,7 @@
 
 def test_store_tells_conflicts_with_what_stands(store):
     revision = put(store, "k", b"mine")
-    with pytest.raises(surroundings.Conflict) as caught:
+    with pytest.raises(interfaces.Conflict) as caught:
         put(store, "k", b"other")
     assert caught.value.at("k").value == b"mine"
     assert caught.value.at("k").revision == revision
@@ -85,7 +85,7 @@
 def test_lost_history_is_told(server, store):
     revision = put(store, "k/1")
     server.memory.compact()
-    with pytest.raises(surroundings.HistoryGone):
+    with pytest.raises(interfaces.HistoryCompacted):
         store.watch("k/", revision, 100)
 
 
@@ -93,23 +93,23 @@
     lease = store.grant(2000)
     store.renew(lease)
     server.memory.end_lease(lease)
-    with pytest.raises(surroundings.LeaseEnded):
+    with pytest.raises(interfaces.LeaseEnded):
         store.renew(lease)
 
 
 @pytest.mark.parametrize(("fault", "error", "stored"), [
-    ("busy", surroundings.CallRefused, False),
-    ("many", surroundings.CallRefused, False),
-    ("lost", surroundings.ConnectionClosed, True),
+    ("busy", interfaces.CallRefused, False),
+    ("many", interfaces.CallRefused, False),
+    ("lost", interfaces.ConnectionClosed, True),
     # A cut network resets connections to a worker that goes on: taken for
     # the orderly end of one that leaves, its tasks would run twice.
-    ("reset", surroundings.CallFailed, True),
-    ("silent", surroundings.CallFailed, False),
+    ("reset", interfaces.CallFailed, True),
+    ("silent", interfaces.CallFailed, False),
 ])
 def test_refused_and_unanswered_commits_differ(server, store, fault, error,
                                                stored):
     server.fault = fault
-    with pytest.raises(surroundings.CallFailed) as caught:
+    with pytest.raises(interfaces.CallFailed) as caught:
         put(store, "k")
     assert caught.type is error
     assert ("k" in server.memory.items) == stored
@@ -117,7 +117,7 @@
 
 def test_no_listener_means_nothing_was_done():
     caller = calls.Caller("127.0.0.1:9", 1)
-    with pytest.raises(surroundings.NobodyListens):
+    with pytest.raises(interfaces.ConnectionRefused):
         caller.call("GET", "/", 0.3)
 
 
@@ -137,7 +137,7 @@
     routes = [{**CONFIG["routes"][0], "advice": advice}, CONFIG["routes"][1]]
     decoded = configuration.decode(
         json.dumps({**CONFIG, "routes": routes}).encode())
-    assert decoded.named("a").advice == policy
+    assert decoded.find_queue("a").advice == policy
     assert len(decoded.queues) == 2
 
 
@@ -165,7 +165,7 @@
     (worker,) = workers_mod.PlatformWorkerList(store).workers()
     assert worker.draining
     assert worker.remaining_ms == 900
-    assert worker.capacity == messages.Room(1, 2, 0)
+    assert worker.capacity == messages.Resources(1, 2, 0)
     assert worker.rack() == "r1-3"
 
 
@@ -211,26 +211,26 @@
     """
     server = worker_server(200, body)
     worker = platform_worker(server)
-    with pytest.raises(surroundings.CallFailed, match="unreadable"):
+    with pytest.raises(interfaces.CallFailed, match="unreadable"):
         worker.renew(7, 57, 486000.7, 0)
     if "clock_ms" not in body:
         for call in (lambda: worker.start(messages.StartOrder(
                 TASK, 1, "s"), 7, 1.0),
                 lambda: worker.stop(messages.StopOrder(TASK, 1), 7),
                 lambda: worker.pace(messages.PaceOrder(TASK, 1, 50), 7)):
-            with pytest.raises(surroundings.CallFailed, match="unreadable"):
+            with pytest.raises(interfaces.CallFailed, match="unreadable"):
                 call()
     server.close()
 
 
 @pytest.mark.parametrize(("status", "body", "error", "reason"), [
-    (409, {"reason": "fence"}, surroundings.OrderRejected, "fence"),
-    (409, {"reason": "room"}, surroundings.OrderRejected, "room"),
-    (429, {}, surroundings.OrderRejected, surroundings.UNHEALTHY),
-    (503, {}, surroundings.OrderRejected, surroundings.UNHEALTHY),
-    (400, {}, surroundings.OrderRejected, surroundings.MALFORMED),
-    (421, {}, surroundings.OtherIncarnation, ""),
-    (500, {}, surroundings.CallFailed, ""),
+    (409, {"reason": "fence"}, interfaces.OrderRejected, "fence"),
+    (409, {"reason": "room"}, interfaces.OrderRejected, "room"),
+    (429, {}, interfaces.OrderRejected, interfaces.UNHEALTHY),
+    (503, {}, interfaces.OrderRejected, interfaces.UNHEALTHY),
+    (400, {}, interfaces.OrderRejected, interfaces.MALFORMED),
+    (421, {}, interfaces.IncarnationMismatch, ""),
+    (500, {}, interfaces.CallFailed, ""),
 ])
 def test_rejections_are_told_apart(status, body, error, reason):
     server = worker_server(status, body)
@@ -510,7 +510,7 @@
     b'{"clock_ms": 5, "ended": [[1, "a.0.0.0"]]}',
     b'{"running": []}', b"[]", b"", b"<html>"])
 def test_a_report_that_cannot_be_read_tells_no_outcome(data):
-    with pytest.raises(surroundings.CallFailed):
+    with pytest.raises(interfaces.CallFailed):
         workers_mod.read_report(data)
 
 
--- a/tests/test_platform_stop.py
+++ b/tests/test_platform_stop.py
@@ -34,7 +34,7 @@
 
     def _serve(self, path, query, body):
         written = [put["key"] for put in body.get("puts", ())]
-        if records.WAITING_KEY in written and not self.committed.is_set():
+        if records.WAITING_JOBS_KEY in written and not self.committed.is_set():
             self.fault = self.to_come
             self.committed.set()
             if self.fault == "silent":
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -65,7 +65,7 @@
     bench = test_fleet_state.Bench(*(
         fleetfakes.entry(n, cpu=8000) for n in range(50)), policy=policy)
     bench.add(fleetfakes.job("lasting", messages.Step(
-        100, messages.Room(4000, 10), perpetual=True)))
+        100, messages.Resources(4000, 10), perpetual=True)))
     placed = []
     for _ in range(50):
         placed += bench.place()
