--- a/sycamorefield/fleet/interfaces.py
+++ b/sycamorefield/fleet/interfaces.py
@@ -1,4 +1,4 @@
-"""State what the scheduler needs of the store and of the workers."""
+"""Interfaces of the store, the workers and other external services."""
 
 import abc
 
@@ -6,28 +6,28 @@
 
 
 class CallFailed(Exception):
-    """Say that a call got no answer; it may have been carried out."""
+    """A call got no answer; it may have been carried out."""
 
 
 class CallRefused(CallFailed):
-    """Say that a call was turned away and nothing was done."""
+    """A call was refused; it had no effect."""
 
 
 class ConnectionRefused(CallRefused):
-    """Say that the address has no listener: its process has ended.
+    """The address refuses connections: its process has ended.
 
-    A process that is cut off or has no power does not answer at all.
+    A process that is cut off or has lost power does not answer at all.
     """
 
 
 class ConnectionClosed(CallFailed):
-    """Say that the other end closed the connection before it answered."""
+    """The connection was closed before an answer arrived."""
 
 
 class Conflict(Exception):
-    """Say that a transaction's expectations do not hold.
+    """A condition of a transaction does not hold.
 
-    Carries the items that stand now under the keys that were expected.
+    items holds the current items under the keys of the conditions.
     """
 
     def __init__(self, items: tuple[messages.Item, ...]) -> None:
@@ -35,29 +35,30 @@
         self.items = items
 
     def item_for(self, key: str) -> messages.Item | None:
-        """Return the item that stands under a key."""
+        """Return the current item under a key, or None."""
         return next((item for item in self.items if item.key == key), None)
 
 
 class LeaseEnded(Exception):
-    """Say that a lease has ended."""
+    """The lease has expired or was revoked."""
 
 
 class HistoryCompacted(Exception):
-    """Say that changes since a revision are no longer known."""
+    """The store no longer keeps the changes since a revision."""
 
 
 class OrderRejected(Exception):
-    """Say that a worker did not carry out an order, and why."""
+    """A worker rejected an order; reason says why."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
         self.reason = reason
 
 
+# Reasons for which a worker rejects an order, as sent by the worker.
 FENCED = "fence"
 STALE_RUN = "old"
-LATE = "late"
+LEASE_EXPIRED = "late"
 NO_CAPACITY = "room"
 INVALID_TICKET = "ticket"
 UNHEALTHY = "unhealthy"
@@ -65,15 +66,15 @@
 
 
 class IncarnationMismatch(Exception):
-    """Say that another incarnation of the worker answered."""
+    """Another incarnation of the worker answered."""
 
 
 class Store(abc.ABC):
-    """Keep values that outlive every process, with leases and watches."""
+    """A durable key-value store with leases and watches."""
 
     @abc.abstractmethod
     def get(self, key: str) -> messages.Item | None:
-        """Return the item under a key; raises CallFailed."""
+        """Return the item under a key, or None; raises CallFailed."""
 
     @abc.abstractmethod
     def listing(self, prefix: str) -> messages.Listing:
@@ -82,22 +83,22 @@
     @abc.abstractmethod
     def watch(self, prefix: str, after: int,
               wait_ms: int) -> messages.Changes:
-        """Wait for changes after a revision.
+        """Wait up to wait_ms for changes after a revision.
 
-        Raises HistoryGone or CallFailed.
+        Raises HistoryCompacted or CallFailed.
         """
 
     @abc.abstractmethod
     def commit(self, transaction: messages.Transaction) -> int:
-        """Commit and return the new revision.
+        """Commit a transaction and return its revision.
 
-        Raises Conflict, LeaseEnded, CallRefused (nothing done) or CallFailed
-        (perhaps done, perhaps still to come).
+        Raises Conflict, LeaseEnded, CallRefused (not applied) or CallFailed
+        (may have been applied, or may still be).
         """
 
     @abc.abstractmethod
     def grant(self, ttl_ms: int) -> int:
-        """Return a new lease; raises CallFailed."""
+        """Return the ID of a new lease; raises CallFailed."""
 
     @abc.abstractmethod
     def renew(self, lease: int) -> None:
@@ -105,34 +106,38 @@
 
 
 class Worker(abc.ABC):
-    """Give orders to one incarnation of one worker.
+    """A client of one incarnation of a worker.
 
-    Each call raises OrderRejected, OtherIncarnation, CallRefused (nothing
-    was done) or CallFailed (perhaps carried out, perhaps later).
-    Times are milliseconds on the worker's clock.
+    Every call may raise OrderRejected, IncarnationMismatch, CallRefused (no
+    effect) or CallFailed (may have been carried out, or may still be).
+    Times are in milliseconds on the worker's clock.
     """
 
     @abc.abstractmethod
     def renew(self, fence: int, recorded_upto: int, lease_end_ms: float | None,
               wait_ms: int) -> messages.WorkerReport:
-        """Extend the lease of all that runs; wait for an end; report."""
+        """Extend the leases of all runs and return a report.
+
+        Wait up to wait_ms for a run to end.  The worker forgets the ends
+        numbered up to recorded_upto, which are stored.
+        """
 
     @abc.abstractmethod
     def start(self, order: messages.StartOrder, fence: int,
               lease_end_ms: float) -> float:
-        """Start a run; return the worker's clock."""
+        """Start a run and return the worker's time."""
 
     @abc.abstractmethod
     def stop(self, order: messages.StopOrder, fence: int) -> float:
-        """Stop a run; return the worker's clock."""
+        """Stop a run and return the worker's time."""
 
     @abc.abstractmethod
     def pace(self, order: messages.PaceOrder, fence: int) -> float:
-        """Set a run's share; return the worker's clock."""
+        """Limit the speed of a run and return the worker's time."""
 
 
 class AdviceService(abc.ABC):
-    """Tell which workers a queue's policy lets a step run on."""
+    """Decides which workers a queue's policy lets a step run on."""
 
     @abc.abstractmethod
     def advise(self, step: str, workers: tuple[str, ...],
@@ -144,8 +149,8 @@
 
 
 class WorkerList(abc.ABC):
-    """List the workers that are alive as far as is known."""
+    """Lists the workers that are believed to be alive."""
 
     @abc.abstractmethod
     def workers(self) -> tuple[messages.WorkerEntry, ...]:
-        """Return all entries that can be read; raises CallFailed."""
+        """Return all readable entries; raises CallFailed."""
--- a/sycamorefield/fleet/messages.py
+++ b/sycamorefield/fleet/messages.py
@@ -1,4 +1,4 @@
-"""Hold the typed messages that the scheduler and its surroundings exchange."""
+"""Types exchanged between the scheduler, the store and the workers."""
 
 import dataclasses
 import typing
@@ -6,31 +6,34 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Resources:
-    """Processors (thousandths of a core), memory (MB) and accelerators."""
+    """CPU (thousandths of a core), memory (MB) and number of GPUs."""
 
     cpu: int = 0
     mem_mb: int = 0
     gpu: int = 0
 
     def plus(self, other: "Resources") -> "Resources":
-        """Return the sum of both."""
+        """Return the sum of both amounts."""
         return Resources(self.cpu + other.cpu, self.mem_mb + other.mem_mb,
                          self.gpu + other.gpu)
 
     def minus(self, other: "Resources") -> "Resources":
-        """Return what is left after other is taken away."""
+        """Return what is left after subtracting other."""
         return Resources(self.cpu - other.cpu, self.mem_mb - other.mem_mb,
                          self.gpu - other.gpu)
 
     def holds(self, other: "Resources") -> bool:
-        """Tell whether other fits."""
+        """Return whether other fits into this amount."""
         return (other.cpu <= self.cpu and other.mem_mb <= self.mem_mb
                 and other.gpu <= self.gpu)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """One step of a job: a number of equal tasks and where they may run."""
+    """A step of a job: identical tasks and their placement constraints.
+
+    The field names are also the keys of the stored job record.
+    """
 
     count: int
     room: Resources = Resources()
@@ -50,10 +53,10 @@
     may_miss: int = 0
 
     def reserved(self) -> Resources:
-        """Return the room a task takes from its worker.
+        """Return the resources that a task reserves on its worker.
 
-        The processors of a task that fills are not reserved: it runs on what
-        the others leave unused.
+        A best-effort task reserves no CPU: it runs on what the other tasks
+        leave unused.
         """
         if self.fills:
             return Resources(0, self.room.mem_mb, self.room.gpu)
@@ -62,7 +65,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Job:
-    """A job as its caller handed it in, with the queue that took it."""
+    """A job as submitted by its caller, and the queue that accepted it.
+
+    The field names are also the keys of the stored job record.
+    """
 
     job_id: str
     queue: str
@@ -77,18 +83,18 @@
     interval_ms: float = 0.0
 
     def occurrences(self) -> int:
-        """Return how often the steps run."""
+        """Return how many times the job runs all of its steps."""
         return max(1, self.repeat_count)
 
     def due_ms(self, occurrence: int) -> float:
-        """Return when an occurrence is due, in ms since 1970 (0: at once)."""
+        """Return when an occurrence is due (ms since 1970; 0: at once)."""
         if not self.start_at_ms:
             return 0.0
         return self.start_at_ms + occurrence * self.interval_ms
 
 
 class StepId(typing.NamedTuple):
-    """Name one step of one occurrence of a job."""
+    """Identifies one step of one occurrence of a job."""
 
     job_id: str
     occurrence: int
@@ -99,7 +105,7 @@
 
 
 class TaskId(typing.NamedTuple):
-    """Name one task: its job, occurrence, step and number in the step."""
+    """Identifies a task by job, occurrence, step and number in the step."""
 
     job_id: str
     occurrence: int
@@ -110,13 +116,13 @@
         return f"{self.job_id}.{self.occurrence}.{self.step}.{self.number}"
 
     def step_id(self) -> StepId:
-        """Return the name of the step that the task belongs to."""
+        """Return the ID of the step that the task belongs to."""
         return StepId(self.job_id, self.occurrence, self.step)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerEntry:
-    """A worker as the list of workers shows it."""
+    """A worker as published in the list of workers."""
 
     worker_id: str
     service: str
@@ -128,26 +134,30 @@
     remaining_ms: float | None = None
 
     def rack(self) -> str:
-        """Return the rack's label, or nothing if none is named.
+        """Return the label of the worker's rack, or "" if it has none.
 
-        Labels are the worker's kind and then its rack.
+        The first label is the worker's kind, the last of several its rack.
         """
         return self.labels[-1] if len(self.labels) > 1 else ""
 
 
 class RunningTask(typing.NamedTuple):
-    """One run that a worker says is under way."""
+    """A run that a worker reports as in progress."""
 
     task: TaskId
     run: int
     saved: str
     percent: int
-    # Tail latency in ms for a task that serves, else thousandths of a core.
+    # Tail latency in ms of a task that serves requests; CPU use in
+    # thousandths of a core of any other task.
     figure: float = 0.0
 
 
 class EndedTask(typing.NamedTuple):
-    """One run that a worker says has ended; number rises with each end."""
+    """A run that a worker reports as ended.
+
+    number increases with every run that ends on the worker.
+    """
 
     number: int
     task: TaskId
@@ -162,7 +172,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerReport:
-    """A worker's answer to a lease renewal."""
+    """A worker's reply to a lease renewal."""
 
     clock_ms: float
     running: tuple[RunningTask, ...]
@@ -171,7 +181,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartOrder:
-    """Start one run of a task."""
+    """An order to start a run of a task."""
 
     task: TaskId
     run: int
@@ -182,7 +192,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopOrder:
-    """Stop one run of a task; a run not begun yet is kept from beginning."""
+    """An order to stop a run of a task.
+
+    A run that has not begun yet is prevented from beginning.
+    """
 
     task: TaskId
     run: int
@@ -190,7 +203,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PaceOrder:
-    """Let one run work at a share, 0 to 100 percent."""
+    """An order to limit the speed of a run to 0 to 100 percent."""
 
     task: TaskId
     run: int
@@ -199,7 +212,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdvicePolicy:
-    """Say how long advice takes (a call, and each worker) and holds, in ms."""
+    """How long advice takes and how long it stays valid.
+
+    A call takes decide_ms plus per_worker_ms for each worker.
+    """
 
     decide_ms: float = 0.0
     per_worker_ms: float = 0.0
@@ -208,16 +224,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Advice:
-    """Hold a ticket for each worker that may run a step, and how long."""
+    """Tickets of the workers that may run a step, and their lifetime."""
 
     tickets: dict[str, str]
-    # As the service says it, or None where only the policy does.
+    # As the advice service says, or None to use the policy's valid_ms.
     valid_ms: float | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Queue:
-    """Where jobs of one host and path prefix go, as operators configured."""
+    """An operator's configuration of jobs of one host and path prefix."""
 
     name: str
     host: str
@@ -225,31 +241,30 @@
     service: str
     priority: int = 0
     max_attempts: int = 1
-    # Set where only workers that the advice service names may run a step.
+    # Set if only workers that the advice service names may run a step.
     advice: AdvicePolicy | None = None
-    # A job is in time if it takes stretch times its longest chain of steps
-    # and slo_ms more.
+    # The deadline of a job: stretch times its critical path, plus slo_ms.
     stretch: float = 1.0
     slo_ms: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Configuration:
-    """The operators' configuration: queues in the order they are matched."""
+    """The operators' configuration, with queues in matching order."""
 
     version: int = 0
     queues: tuple[Queue, ...] = ()
     max_body_bytes: int = 262_144
 
     def match(self, host: str, path: str) -> Queue | None:
-        """Return the first queue that matches (the longest prefix first)."""
+        """Return the first matching queue; longer prefixes come first."""
         for queue in self.queues:
             if queue.host == host and path.startswith(queue.prefix):
                 return queue
         return None
 
     def find_queue(self, name: str) -> Queue | None:
-        """Return the queue of a name."""
+        """Return the queue of that name, or None."""
         return self.queues_by_name().get(name)
 
     def queues_by_name(self) -> dict[str, Queue]:
@@ -259,7 +274,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Item:
-    """A stored value and the revision of its last change."""
+    """A stored value, with the revisions of its last change and creation."""
 
     key: str
     value: bytes
@@ -269,7 +284,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """An item as it was written, or a key that was removed (no item)."""
+    """A change of a key: the item written, or None if it was removed."""
 
     key: str
     revision: int
@@ -278,7 +293,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Listing:
-    """The items under a prefix and the revision the list began at."""
+    """The items under a prefix, and the revision when listing began."""
 
     items: tuple[Item, ...]
     revision: int
@@ -286,7 +301,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changes:
-    """What changed under a prefix up to a revision."""
+    """The changes under a prefix up to a revision."""
 
     changes: tuple[Change, ...]
     revision: int
@@ -294,7 +309,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Expect:
-    """Require that a key is still at a revision (0: that it is absent)."""
+    """A condition that a key is at a revision (0: does not exist)."""
 
     key: str
     revision: int
@@ -302,7 +317,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Put:
-    """Write a value under a key, removed with the lease if one is given."""
+    """A write of a value, deleted with its lease if it has one."""
 
     key: str
     value: bytes
@@ -311,7 +326,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Transaction:
-    """Write all of it if every expectation holds, else nothing."""
+    """Writes and removals, applied only if every condition holds."""
 
     expects: tuple[Expect, ...] = ()
     puts: tuple[Put, ...] = ()
--- a/sycamorefield/fleet/recorder.py
+++ b/sycamorefield/fleet/recorder.py
@@ -175,9 +175,9 @@
         effect, its expectations fail and the items show our values.
         """
         expects = [messages.Expect(self.owner_key, self.fleet.fence)]
-        expects += [messages.Expect(write.key, write.expected_revision)
-                    for write in writes]
-        puts = tuple(messages.Put(write.key, write.data) for write in writes)
+        expects += [messages.Expect(w.key, w.expected_revision)
+                    for w in writes]
+        puts = tuple(messages.Put(w.key, w.data) for w in writes)
         transaction = messages.Transaction(tuple(expects), puts)
         while self.may_act():
             began = clock.now()
--- a/tests/test_fleet_machine.py
+++ b/tests/test_fleet_machine.py
@@ -351,7 +351,7 @@
                 or any(t == task for t, _ in worker.runs)):
             return interfaces.STALE_RUN
         if sent.until_ms <= self.now * 1000.0:
-            return interfaces.LATE
+            return interfaces.LEASE_EXPIRED
         worker.lease_end_ms = max(worker.lease_end_ms, sent.until_ms)
         step = self._job(task).steps[task.step]
         worker.runs[key] = step.reserved()
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -69,8 +69,8 @@
     revision = put(store, "k", b"mine")
     with pytest.raises(interfaces.Conflict) as caught:
         put(store, "k", b"other")
-    assert caught.value.at("k").value == b"mine"
-    assert caught.value.at("k").revision == revision
+    assert caught.value.item_for("k").value == b"mine"
+    assert caught.value.item_for("k").revision == revision
 
 
 def test_watch_brings_changes_and_removals(store):
