--- a/sycamorefield/fleet/clock.py
+++ b/sycamorefield/fleet/clock.py
@@ -1,14 +1,14 @@
-"""Read the clocks that leases and due times are measured with."""
+"""Clocks for leases and for the due times of jobs."""
 
 import time
 
 
 def now() -> float:
-    """Return seconds on a clock that goes on while the VM is suspended.
+    """Return seconds on a clock that includes time spent suspended.
 
-    The monotonic clock stands still while a VM is suspended.  A process that
-    measured its lease with it would believe, after waking, that it still owns
-    the workers; the boot-time clock counts the suspension.
+    The monotonic clock stops while the VM is suspended.  A process that used
+    it for its lease would still believe after resuming that it owns the
+    workers.  The boot-time clock counts the suspension.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
--- a/sycamorefield/fleet/interfaces.py
+++ b/sycamorefield/fleet/interfaces.py
@@ -55,7 +55,7 @@
         self.reason = reason
 
 
-# Reasons for which a worker rejects an order, as sent by the worker.
+# Values of OrderRejected.reason.
 FENCED = "fence"
 STALE_RUN = "old"
 LEASE_EXPIRED = "late"
--- a/sycamorefield/fleet/progress.py
+++ b/sycamorefield/fleet/progress.py
@@ -1,4 +1,4 @@
-"""Hold how far a job's tasks have come, in memory and as stored."""
+"""Progress of jobs and their tasks, in memory and as stored."""
 
 import dataclasses
 import json
@@ -12,16 +12,19 @@
 RUNNING = "running"
 STOPPING = "stopping"
 
-# A new owner may not know of runs that its predecessors ordered.  Runs of jobs
-# that it took over are numbered from its fence times this: above those of
-# every earlier term, whose fences are lower.
+# A new owner may not know of runs that earlier owners ordered.  It numbers the
+# runs of jobs that it takes over from its fence times this, which is above the
+# run numbers of all earlier owners, because their fences are lower.
 RUNS_PER_TERM = 1000
 
 StepIndex = tuple[int, int]
 
 
 class TaskState:
-    """Follow one task: where it runs, what ended, what to resume from."""
+    """State of a task: its current run, past runs and saved state.
+
+    Times are in seconds on clock.now(), 0 if not known.
+    """
 
     __slots__ = ("task", "step", "done", "failed_runs", "last_run", "saved",
                  "phase", "run", "worker_id", "not_before", "avoided_workers",
@@ -46,34 +49,36 @@
         self.avoided_workers: set[str] = set()
         self.started_at = 0.0
         self.percent = 0
+        # When the worker confirmed the start or the stop of the run.
         self.confirmed_at = 0.0
         self.pace_percent = 100
         self.slowed_at = 0.0
         self.stop_sent_at = 0.0
         self.stuck = False
-        # Whether a lasting task was ever started.
+        # Whether a long-running task was ever started.
         self.has_run = False
-        # Whether a worker is known to have begun a run of it.
+        # Whether a worker has confirmed that it began a run of the task.
         self.start_confirmed = False
-        # Seconds that the current run takes from start to end by its progress
-        # so far, and that the run before took or would have; 0 if not known.
+        # Duration of the current run, extrapolated from its progress so far,
+        # and the actual or extrapolated duration of the previous run; 0 if
+        # unknown.
         self.projected_run_s = 0.0
         self.previous_run_s = 0.0
-        # What crashes of workers under it tell, if there were any.
+        # Crashes of workers that may have been caused by the task, if any.
         self.suspicion: suspicion.Suspicion | None = None
 
     def needs_trial(self) -> bool:
-        """Tell whether its next run must show if it crashes its worker."""
+        """Return whether the next run must be a quarantine run."""
         return self.suspicion is not None and self.suspicion.needs_trial()
 
     def update_progress(self, percent: int, now: float) -> None:
-        """Note how far the current run has come."""
+        """Record the progress of the current run."""
         self.percent = percent
         if percent and self.started_at:
             self.projected_run_s = (now - self.started_at) * 100.0 / percent
 
     def reset_run(self) -> None:
-        """Forget the current run; the task may be started again."""
+        """Forget the current run, so that the task may be started again."""
         self.phase = IDLE
         self.run = 0
         self.worker_id = ""
@@ -86,17 +91,21 @@
             self.job.skip_rounds = False
 
     def mark_done(self) -> None:
-        """Note that a run has ended as done."""
+        """Record that a run of the task has succeeded."""
         self.done = True
         self.saved = ""
         if self.job is not None:
             self.job.done_tasks += 1
-            # The next step may be ready now.
+            # Steps that depend on this one may be ready now.
             self.job.skip_rounds = False
 
 
 class JobState:
-    """Follow one job: its tasks by occurrence, and what is stored of it."""
+    """State of a job: its tasks, and which of its state is stored.
+
+    Times are in seconds on clock.now(); created and state_revision are the
+    store's revisions of the job record and of the stored progress.
+    """
 
     def __init__(self, job: messages.Job, created: int) -> None:
         self.job = job
@@ -104,36 +113,41 @@
         self.state_revision = 0
         self.cancelled = False
         self.state = messages.PENDING
-        # Why it failed, for its caller.
+        # Why the job failed, shown to its caller.
         self.reason = ""
-        # The workers set aside for suspected tasks of it, and as stored.
+        # Workers reserved for quarantine runs of suspected tasks of the job,
+        # and those of them that are stored.
         self.quarantine_workers: dict[messages.TaskId, str] = {}
         self.stored_quarantine_workers: dict[messages.TaskId, str] = {}
+        # Whether the progress has changed since it was last written.
         self.dirty = False
         self.tasks: dict[StepIndex, list[TaskState]] = {}
-        # Steps seen to be done; that stays, and every round asks for it.
+        # Cache of completed steps: a completed step stays so, and every round
+        # checks it.
         self.done_steps: set[StepIndex] = set()
+        # Runs of the job are numbered above this.
         self.run_base = 0
-        # When this process learnt that the job is stored.
+        # When this process learned that the job is stored.
         self.known_at = 0.0
-        # When a round first found a step whose turn had come, or 0.
+        # When a round first found a step that was due, or 0.
         self.first_ready_at = 0.0
-        # Since when a lasting task that ran is down, or 0.
+        # Since when a long-running task that has run is down, or 0.
         self.down_since = 0.0
-        # How many tasks have ended as done, and how many had when the chain
-        # left was worked out last.
+        # How many tasks have succeeded, and how many had when
+        # cached_remaining_ms was computed.
         self.done_tasks = 0
         self.cached_done_tasks = -1
         self.cached_remaining_ms = 0.0
-        # Whether rounds may pass over it: nothing of it waits for a worker.
+        # Whether placement rounds may skip the job, as no task waits for a
+        # worker.
         self.skip_rounds = False
         self.long_running = any(step.perpetual for step in job.steps)
-        # The estimated longest chain of all steps; asked for in each round.
+        # The estimated critical path of all steps, cached for every round.
         self.critical_path_ms = self._longest_path_ms([step.estimate_ms
                                                        for step in job.steps])
 
     def remaining_critical_path_ms(self) -> float:
-        """Return the estimated longest chain of steps not done yet."""
+        """Return the estimated critical path of steps not completed yet."""
         if self.done_tasks != self.cached_done_tasks:
             self.cached_done_tasks = self.done_tasks
             self.cached_remaining_ms = self._longest_path_ms([
@@ -152,7 +166,7 @@
         return max(finish_ms)
 
     def create_tasks(self, occurrence: int) -> None:
-        """Create the tasks of an occurrence unless they are there."""
+        """Create the tasks of an occurrence unless they exist."""
         for index, step in enumerate(self.job.steps):
             if (occurrence, index) in self.tasks:
                 continue
@@ -162,7 +176,7 @@
                 for number in range(step.count)]
 
     def find(self, task: messages.TaskId) -> TaskState | None:
-        """Return a task's state, or None if the job has no such task."""
+        """Return the state of a task, or None if the job has no such task."""
         if not (0 <= task.step < len(self.job.steps)
                 and 0 <= task.occurrence < self.job.occurrences()):
             return None
@@ -171,10 +185,10 @@
         return states[task.number] if 0 <= task.number < len(states) else None
 
     def downtime_s(self, now: float) -> float:
-        """Return for how many seconds a lasting task that ran is down.
+        """Return how long a long-running task that has run has been down.
 
-        An order alone ends nothing: its start may be rejected or taken back,
-        and the time must not begin anew then.
+        A start order alone does not end the downtime: the start may be
+        rejected or withdrawn, and the downtime must not restart from 0 then.
         """
         down = any(task.phase in (IDLE, STARTING) and task.has_run
                    for task in self.all_tasks())
@@ -190,7 +204,7 @@
             yield from states
 
     def step_done(self, occurrence: int, step: int) -> bool:
-        """Tell whether all tasks of a step have ended as done."""
+        """Return whether all tasks of a step have succeeded."""
         step_index = (occurrence, step)
         if step_index in self.done_steps:
             return True
@@ -201,29 +215,29 @@
         return done
 
     def step_ready(self, occurrence: int, step: int) -> bool:
-        """Tell whether the steps that a step waits for are done."""
+        """Return whether all dependencies of a step are completed."""
         return all(self.step_done(occurrence, earlier)
                    for earlier in self.job.steps[step].after)
 
     def final(self) -> bool:
-        """Tell whether nothing of the job will be started any more."""
+        """Return whether no task of the job will be started any more."""
         return self.state in messages.FINAL_STATES
 
     def mark_has_run(self, task: TaskState) -> None:
-        """Note that a task runs or ran; successors must know of lasting ones.
+        """Record for later owners that a long-running task has run.
 
-        A lasting task that is down goes before all others, and one that never
-        ran waits while room is kept for short work.
+        A long-running task that is down is placed before all others, but one
+        that never ran waits while capacity is reserved for finite tasks.
         """
         if task.step.perpetual and not task.has_run:
             task.has_run = self.dirty = True
 
     def next_run_number(self, state: TaskState) -> int:
-        """Return a run number above every one the task may have had."""
+        """Return a run number higher than any the task may have had."""
         return max(state.last_run, self.run_base) + 1
 
     def settle(self) -> bool:
-        """Move to a final state if the tasks say so; tell if it changed."""
+        """Enter a final state if the tasks require it; return whether so."""
         if self.final():
             return False
         if self.cancelled:
@@ -244,7 +258,7 @@
                    for step in range(len(self.job.steps)))
 
     def _failure_reason(self) -> str:
-        """Return why the job can't be done, or nothing."""
+        """Return why the job has failed, or "" if it has not."""
         for task in self.all_tasks():
             if task.done:
                 continue
@@ -260,12 +274,12 @@
 
 
 def _short_name(task: messages.TaskId) -> str:
-    """Return the name of a task within its job."""
+    """Return the name of a task without its job ID."""
     return f"{task.occurrence}.{task.step}.{task.number}"
 
 
 def encode_job(job: messages.Job) -> bytes:
-    """Return a job as it is stored, without fields at their default."""
+    """Return the stored form of a job, without defaults of its steps."""
     row = dataclasses.asdict(job)
     row["steps"] = [_encode_step(step) for step in job.steps]
     return json.dumps(row, separators=(",", ":")).encode()
@@ -281,7 +295,7 @@
 
 
 def decode_job(value: bytes) -> messages.Job:
-    """Return a stored job; raises ValueError if it cannot be read."""
+    """Return a stored job; raises ValueError if it is unreadable."""
     try:
         row = json.loads(value)
         steps = []
@@ -296,11 +310,14 @@
 
 
 def encode_progress(state: JobState) -> bytes:
-    """Return what must outlive the owner of a job's progress.
-
-    A final state stands alone, or with why the job failed.  Otherwise done
-    tasks are a bit mask a step, as are lasting tasks that ever ran, and other
-    tasks that ran have [last run, failed runs, saved].
+    """Return the stored form of a job's progress, for later owners.
+
+    A job in a final state has only its state and the reason of a failure.
+    Otherwise "done" and "ran" hold, for each step, a bit mask of the tasks
+    that succeeded and of the long-running tasks that have run.  "rest" holds
+    [last run, failed runs, saved] of unfinished tasks that failed or saved
+    something; "suspected" and "trials" hold what is known of tasks that are
+    suspected of crashing workers.
     """
     row: dict[str, typing.Any] = {"state": state.state}
     if state.reason:
@@ -327,7 +344,7 @@
 def _encode_masks(state: JobState,
                   predicate: typing.Callable[[TaskState], bool]
                   ) -> dict[str, str]:
-    """Return, for each step, a bit mask of the tasks chosen."""
+    """Return, for each step, a bit mask of the tasks that match."""
     masks = {}
     for (occurrence, step), tasks in state.tasks.items():
         mask = sum(1 << index for index, task in enumerate(tasks)
@@ -339,7 +356,7 @@
 
 def _decode_masks(state: JobState, masks: dict[str, str]
                   ) -> typing.Iterator[TaskState]:
-    """Yield the tasks that bit masks name."""
+    """Yield the tasks whose bits are set."""
     for name, mask in masks.items():
         occurrence, step = (int(part) for part in name.split("."))
         state.create_tasks(occurrence)
@@ -349,7 +366,7 @@
 
 
 def apply_progress(state: JobState, value: bytes) -> None:
-    """Take over stored progress; raises ValueError if it is unreadable."""
+    """Load stored progress; raises ValueError if it is unreadable."""
     try:
         row = json.loads(value)
         state.state = row["state"]
@@ -378,17 +395,17 @@
 
 
 def _find_by_short_name(state: JobState, short_name: str) -> TaskState | None:
-    """Return the task that a name within a job means."""
+    """Return the task with a name as returned by _short_name."""
     occurrence, step, number = (int(part) for part in short_name.split("."))
     return state.find(messages.TaskId(
         state.job.job_id, occurrence, step, number))
 
 
 def decode_state(value: bytes) -> str:
-    """Return the state named in a stored progress record."""
+    """Return the job state in a stored progress record."""
     return str(json.loads(value)["state"])
 
 
 def decode_failure_reason(value: bytes) -> str:
-    """Return why a job failed, from a stored progress record."""
+    """Return why a job failed from a progress record, or ""."""
     return str(json.loads(value).get("reason", ""))
--- a/sycamorefield/fleet/recorder.py
+++ b/sycamorefield/fleet/recorder.py
@@ -1,4 +1,4 @@
-"""Commit task outcomes in groups, fenced by the owner's key."""
+"""Batched writes of task outcomes to the store, fenced by the owner's key."""
 
 import enum
 import threading
@@ -15,21 +15,22 @@
 from sycamorefield.fleet import usage
 from sycamorefield import metrics
 
-# A transaction takes 32 entries: one for the fence, and for each value an
-# expectation and a put.
+# A transaction is limited to 32 entries: one condition for the fence, and a
+# condition and a put for each value.
 VALUES_PER_COMMIT = 15
-# Outcomes that end no job wait this long for others to share a commit.
+# Outcomes that end no job wait this long to share a commit with others.
 BATCH_DELAY_S = 0.04
 RETRY_DELAY_S = 0.1
-# How often the numbers of waiting jobs are written at most.
+# Minimum time between two writes of the numbers of waiting jobs.
 WAITING_JOBS_PERIOD_S = 1.0
-# How often what was learnt of images is written: 1 KB or so, and a successor
-# that began anew would harm serving tasks for some ten seconds.
+# How often the learned interference weights of images are written.  They take
+# about 1 KB; a new owner without them would harm the latency of serving tasks
+# for about ten seconds.
 WEIGHTS_PERIOD_S = 2.0
 
 
 class Outcome(enum.Enum):
-    """Say what became of a commit."""
+    """Outcome of a commit."""
 
     STORED = "stored"
     RETRY = "again"
@@ -37,18 +38,21 @@
 
 
 class PendingWrite(typing.NamedTuple):
-    """Hold a value to be written and whom to tell of its revision."""
+    """A value to be written, and the job whose revision it updates."""
 
     key: str
     data: bytes
     expected_revision: int
     job: progress.JobState | None
-    # The workers set aside for suspected tasks, as the data says.
+    # The workers reserved for quarantine runs according to the data.
     quarantine_workers: dict[messages.TaskId, str] = {}
 
 
 class Recorder:
-    """Write what changed; tell links which ends are stored."""
+    """Writes changed state; reports which ends of runs are stored.
+
+    on_ends_stored receives the highest stored end number of each worker.
+    """
 
     def __init__(self, store: interfaces.Store,
                  fleet: state_mod.FleetState, owner_key: str,
@@ -64,8 +68,8 @@
         self.on_ends_stored = on_ends_stored
         self.revisions: dict[str, int] = {}
         self.stored_addresses: dict[str, str] | None = None
-        # The numbers of waiting jobs as stored, or None if not known: those
-        # of an earlier owner must not stand when none wait any more.
+        # The stored numbers of waiting jobs, or None if unknown: those of an
+        # earlier owner must be overwritten even if no job waits any more.
         self.stored_counts: dict[str, int] | None = None
         self.counted_at = 0.0
         self.stored_weights = b"{}"
@@ -74,7 +78,7 @@
         self.flush_lock = threading.Lock()
 
     def run(self) -> None:
-        """Write until stopped or deposed."""
+        """Write changes until stopped or until ownership is lost."""
         while not self.stopped.is_set() and self.may_act():
             with self.fleet.lock:
                 commit_now = self.fleet.commit_now
@@ -84,10 +88,10 @@
                 return
 
     def flush(self) -> bool:
-        """Write all that changed; tell whether this is still the owner.
+        """Write all changes; return False if ownership is lost.
 
-        One flush at a time: a second one would find nothing left to write
-        and acknowledge ends that the first has not stored yet.
+        Only one flush runs at a time: a concurrent one would find nothing
+        left to write, and acknowledge ends that the first has not stored yet.
         """
         with self.flush_lock:
             return self._flush()
@@ -124,10 +128,10 @@
         return writes
 
     def _add_workers(self, writes: list[PendingWrite]) -> None:
-        """Add the workers in use if they changed.
+        """Add the list of workers in use if it has changed.
 
-        A successor must ask each worker that may run something.  A worker
-        gets its first start only after it is on this stored list.
+        A later owner must ask each worker that may run a task, so a worker
+        gets its first start only after this list with it is stored.
         """
         addresses = {w.entry.worker_id: w.entry.address
                      for w in self.fleet.workers.values()}
@@ -146,7 +150,7 @@
         if (now - self.counted_at < WAITING_JOBS_PERIOD_S
                 and self.stored_counts is not None):
             return
-        # Counting holds the fleet's lock for each job that waits.
+        # Counting holds the fleet's lock, and takes time for each waiting job.
         self.counted_at = now
         counts = self.fleet.waiting()
         if counts == self.stored_counts:
@@ -168,11 +172,11 @@
                 self.revisions.get(records.WEIGHTS_KEY, 0), None))
 
     def _commit(self, writes: list[PendingWrite]) -> Outcome:
-        """Commit until the outcome is known.
+        """Commit, and retry until the outcome is known.
 
-        Without an answer the transaction may have been carried out, or may
-        still be.  The same one is sent again: if the earlier one took
-        effect, its expectations fail and the items show our values.
+        If there is no answer, the transaction may have been applied or may
+        still be.  The same transaction is then sent again: if the first was
+        applied, the conditions fail and the current items have our values.
         """
         expects = [messages.Expect(self.owner_key, self.fleet.fence)]
         expects += [messages.Expect(w.key, w.expected_revision)
--- a/sycamorefield/fleet/records.py
+++ b/sycamorefield/fleet/records.py
@@ -1,4 +1,4 @@
-"""Name the keys under which the scheduler keeps what must last."""
+"""Keys and encodings of the scheduler's records in the store."""
 
 import json
 
@@ -6,8 +6,8 @@
 CANCEL_SUFFIX = ".c"
 PROGRESS_PREFIX = "st/"
 OWNER_KEY = "owner/fleet"
-# One watch under this prefix covers the operators' keys (op/...) and the
-# owner's key, at the price of one waiting call instead of two.
+# A single watch of this prefix covers the operators' keys (op/...) and the
+# owner's key, so that only one call waits instead of two.
 WATCHED_PREFIX = "o"
 WORKERS_KEY = "fleet/workers"
 WAITING_JOBS_KEY = "fleet/waiting"
@@ -20,7 +20,7 @@
 
 
 def cancel_key(job_id: str) -> str:
-    """Return the key that says a job was cancelled."""
+    """Return the key whose existence means that a job is cancelled."""
     return JOB_PREFIX + job_id + CANCEL_SUFFIX
 
 
@@ -30,17 +30,17 @@
 
 
 def encode_counts(counts: dict[str, int]) -> bytes:
-    """Return the numbers of waiting jobs as stored."""
+    """Return the stored form of the numbers of waiting jobs by queue."""
     return json.dumps(counts, sort_keys=True).encode()
 
 
 def encode_addresses(addresses: dict[str, str]) -> bytes:
-    """Return the workers in use (address by ID) as stored."""
+    """Return the stored form of the workers in use (addresses by ID)."""
     return json.dumps(addresses, sort_keys=True).encode()
 
 
 def decode_mapping(value: bytes) -> dict[str, str]:
-    """Return a stored mapping; raises ValueError if it is none."""
+    """Return a stored mapping; raises ValueError if it is unreadable."""
     decoded = json.loads(value)
     if not isinstance(decoded, dict):
         raise ValueError("not a mapping")
--- a/sycamorefield/fleet/runlog.py
+++ b/sycamorefield/fleet/runlog.py
@@ -1,8 +1,8 @@
-"""Group the log lines of single runs, so that their volume stays bounded.
+"""Log lines that report many runs each, to bound the volume of the log.
 
-A full fleet orders and ends hundreds of runs a second.  One line each took
-more room than is kept of a process's output, which then reached back for
-less than a second, and took processor time from placing.
+A full fleet starts and ends hundreds of runs a second.  With one line per run,
+the retained output of a process covered less than a second, and logging took
+CPU time from placement.
 """
 
 import threading
@@ -12,24 +12,24 @@
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import progress
 
-# At most so often a line of each kind is written, unless one is full.
+# Minimum time between two lines of a kind, unless a line is full.
 LINE_PERIOD_S = 0.1
-# A line stays under 8 KB, which standard output takes in one write.
+# Keeps a line below 8 KB, which standard output accepts in a single write.
 RUNS_PER_LINE = 100
 
 # The task, its run and the worker.
 RunRow = tuple[messages.TaskId, int, str]
-# The task, its run and for how many seconds it was at work, if it was.
+# The task, its run and the age of the run in seconds if it had started.
 LostRunRow = tuple[str, int, float | None]
 
 
 class RunLog:
-    """Collect ordered and ended runs, and write a few to a line."""
+    """Collects started and ended runs, and logs many of them per line."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
         self.ordered: list[RunRow] = []
-        # Ended runs by how they ended.
+        # Ended runs, by the way in which they ended.
         self.ended: dict[str, list[RunRow]] = {}
         self.ordered_total = 0
         self.ended_total = 0
@@ -37,26 +37,26 @@
 
     def add_ordered(self, task: messages.TaskId, run: int,
                     worker_id: str) -> None:
-        """Note a run that a worker is told to start."""
+        """Record a run that a worker is ordered to start."""
         with self.lock:
             self.ordered.append((task, run, worker_id))
             self.ordered_total += 1
 
     def add_ended(self, task: messages.TaskId, run: int, worker_id: str,
                   how: str) -> None:
-        """Note a run that a worker reports as ended."""
+        """Record a run that a worker reports as ended."""
         with self.lock:
             self.ended.setdefault(how, []).append((task, run, worker_id))
             self.ended_total += 1
 
     def flush_when_due(self, now: float) -> None:
-        """Write what was collected unless lines were written just now."""
+        """Write collected runs if the last flush was long enough ago."""
         if now - self.flushed_at >= LINE_PERIOD_S:
             self.flushed_at = now
             self.flush()
 
     def flush(self) -> None:
-        """Write all that was collected."""
+        """Write all collected runs."""
         with self.lock:
             ordered, self.ordered = self.ordered, []
             ended, self.ended = self.ended, {}
@@ -69,7 +69,7 @@
 
 def lost_run_rows(runs: typing.Iterable[tuple[progress.TaskState, int]],
                   at: float) -> list[LostRunRow]:
-    """Return rows on runs that ended with their worker, the newest first."""
+    """Return the runs that were lost with their worker, newest first."""
     rows = []
     for task, run in runs:
         current = task.run == run and task.started_at > 0.0
@@ -81,7 +81,7 @@
 
 def _split_rows(runs: list[RunRow]
                 ) -> typing.Iterator[list[tuple[str, int, str]]]:
-    """Yield what each line holds: names of tasks, runs and workers."""
+    """Yield the rows of each line: task names, runs and workers."""
     for begin in range(0, len(runs), RUNS_PER_LINE):
         yield [(str(task), run, worker_id) for task, run, worker_id
                in runs[begin:begin + RUNS_PER_LINE]]
--- a/sycamorefield/fleet/usage.py
+++ b/sycamorefield/fleet/usage.py
@@ -1,4 +1,4 @@
-"""Sum up how full the fleet is, and how busy its owner is with placing."""
+"""Statistics on the use of the fleet and on placement rounds."""
 
 import dataclasses
 import typing
@@ -9,7 +9,7 @@
 if typing.TYPE_CHECKING:
     from sycamorefield.fleet import state as state_mod
 
-# Names of the histograms, see metrics.CALLS.
+# Names of the histograms in metrics.CALLS.
 ROUND = "round"
 ROUND_WAIT = "round_wait"
 REPORT = "report"
@@ -18,7 +18,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Usage:
-    """Hold cores as reserved, workers, and tasks that wait for room."""
+    """Reserved resources, workers and waiting tasks of the fleet.
+
+    The field names are also the names of log fields.
+    """
 
     capacity_cores: float
     reserved_cores: float
@@ -28,28 +31,28 @@
     workers: int
     workers_silent: int
     workers_unheard: int
-    # Set aside for tasks that are suspected of crashing workers.
+    # Reserved for quarantine runs of tasks suspected of crashing workers.
     workers_set_aside: int
-    # What lasting tasks reserve, and the room kept for short work beside
-    # lasting jobs of the priority that keeps most.
+    # What long-running tasks reserve, and the capacity that is kept free for
+    # finite tasks by the priority that keeps most.
     lasting_cores: float
     kept_cores: float
-    # The room kept for lasting jobs to come.
+    # The capacity kept free for expected long-running jobs.
     ahead_cores: float
     # Ready tasks without a run, by priority.
     waiting: dict[int, int]
-    # Lasting tasks that ran and have no run: how many, for how long the one
-    # that waits longest, and the cores that the widest of them needs.
+    # Long-running tasks that have run but have no run now: how many, the
+    # longest downtime of a job, and the CPU that the largest needs.
     lasting_down: int
     lasting_down_s: float
     lasting_down_cores: float
 
 
 def measure(fleet: "state_mod.FleetState", now: float) -> Usage:
-    """Return how full the fleet is and what waits.
+    """Return the use of the fleet and the number of waiting tasks.
 
-    The lock is taken anew for each job: with hundreds of them, reports and
-    leases would otherwise wait for the whole count.
+    The lock is released after each job: with hundreds of jobs, reports and
+    lease renewals would otherwise wait until all are counted.
     """
     with fleet.lock:
         states = list(fleet.active.values())
@@ -66,26 +69,26 @@
                 longest_down_s = max(longest_down_s, state.downtime_s(now))
     with fleet.lock:
         workers = [w for w in fleet.workers.values() if w.listed]
-        capacity = sum(w.entry.capacity.cpu for w in workers)
-        memory = sum(w.entry.capacity.mem_mb for w in workers)
-        kept = fleet.demand.most_room(capacity, now)
-        ahead = fleet.demand.ahead(capacity, now)
+        capacity_cpu = sum(w.entry.capacity.cpu for w in workers)
+        memory_mb = sum(w.entry.capacity.mem_mb for w in workers)
+        kept_cpu = fleet.demand.most_room(capacity_cpu, now)
+        ahead_cpu = fleet.demand.ahead(capacity_cpu, now)
         return Usage(
-            capacity / 1000.0, sum(w.used.cpu for w in workers) / 1000.0,
-            sum(w.used.mem_mb for w in workers) / max(1, memory),
+            capacity_cpu / 1000.0, sum(w.used.cpu for w in workers) / 1000.0,
+            sum(w.used.mem_mb for w in workers) / max(1, memory_mb),
             sum(w.filling_cpu for w in workers) / 1000.0,
             max((w.free().cpu for w in workers), default=0) / 1000.0,
             len(workers),
             sum(1 for w in fleet.workers.values() if w.silent),
             len(fleet.unheard), len(fleet.trials.by_worker),
             sum(w.lasting_cpu for w in workers) / 1000.0,
-            kept / 1000.0, ahead / 1000.0, waiting, len(down_tasks),
+            kept_cpu / 1000.0, ahead_cpu / 1000.0, waiting, len(down_tasks),
             round(longest_down_s, 3),
             max((t.step.room.cpu for t in down_tasks), default=0) / 1000.0)
 
 
 def _count_ready(state: progress.JobState) -> int:
-    """Return how many tasks of a job wait for nothing but room."""
+    """Return how many tasks of a job wait only for capacity."""
     return sum(1 for (occurrence, step), tasks in state.tasks.items()
                if state.step_ready(occurrence, step) for t in tasks
                if t.phase == progress.IDLE and not t.done)
@@ -98,7 +101,7 @@
 
 @dataclasses.dataclass
 class RoundTimes:
-    """Count rounds of placing and the time in and between them."""
+    """Counts placement rounds and the time spent in and between them."""
 
     rounds: int = 0
     busy_s: float = 0.0
@@ -106,7 +109,7 @@
     longest_s: float = 0.0
 
     def add(self, waited_s: float, took_s: float) -> None:
-        """Note one round and the time since the round before it."""
+        """Record a round and the time since the previous one."""
         self.rounds += 1
         self.busy_s += took_s
         self.waited_s += waited_s
@@ -115,7 +118,7 @@
         metrics.CALLS.record(ROUND_WAIT, waited_s)
 
     def since(self, earlier: "RoundTimes") -> dict[str, float]:
-        """Return what was added since an earlier copy, for the log."""
+        """Return the log fields of what was added since an earlier copy."""
         return {"rounds": self.rounds - earlier.rounds,
                 "rounds_busy_s": round(self.busy_s - earlier.busy_s, 3),
                 "rounds_waited_s": round(self.waited_s - earlier.waited_s,
--- a/sycamorefield/platform/exchange.py
+++ b/sycamorefield/platform/exchange.py
@@ -123,7 +123,7 @@
     def exchange(self, request: bytes, timeout_s: float) -> Response:
         """Send a request over an idle connection or a new one.
 
-        Raises NobodyListens, CallRefused, ConnectionClosed or CallFailed.
+        Raises ConnectionRefused, CallRefused, ConnectionClosed or CallFailed.
         """
         connection = self._idle() or self._connect(timeout_s)
         try:
