--- a/sycamorefield/fleet/runlog.py
+++ b/sycamorefield/fleet/runlog.py
@@ -1,6 +1,6 @@
 """Log lines that report many runs each, to bound the volume of the log.
 
-A full fleet starts and ends hundreds of runs a second.  With one line per run,
+A full fleet orders and ends hundreds of runs a second.  With one line per run,
 the retained output of a process covered less than a second, and logging took
 CPU time from placement.
 """
@@ -24,7 +24,7 @@
 
 
 class RunLog:
-    """Collects started and ended runs, and logs many of them per line."""
+    """Collects ordered and ended runs, and logs many of them per line."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
@@ -68,12 +68,12 @@
 
 
 def lost_run_rows(runs: typing.Iterable[tuple[progress.TaskState, int]],
-                  at: float) -> list[LostRunRow]:
+                  lost_at: float) -> list[LostRunRow]:
     """Return the runs that were lost with their worker, newest first."""
     rows = []
     for task, run in runs:
         current = task.run == run and task.started_at > 0.0
-        age_s = round(at - task.started_at, 3) if current else None
+        age_s = round(lost_at - task.started_at, 3) if current else None
         rows.append((str(task.task), run, age_s))
     rows.sort(key=lambda row: -1.0 if row[2] is None else row[2])
     return rows[:RUNS_PER_LINE]
@@ -82,6 +82,6 @@
 def _split_rows(runs: list[RunRow]
                 ) -> typing.Iterator[list[tuple[str, int, str]]]:
     """Yield the rows of each line: task names, runs and workers."""
-    for begin in range(0, len(runs), RUNS_PER_LINE):
+    for first in range(0, len(runs), RUNS_PER_LINE):
         yield [(str(task), run, worker_id) for task, run, worker_id
-               in runs[begin:begin + RUNS_PER_LINE]]
+               in runs[first:first + RUNS_PER_LINE]]
--- a/tests/fleetfakes.py
+++ b/tests/fleetfakes.py
@@ -1,4 +1,4 @@
-"""Stand in for the store and the workers, in memory and with faults."""
+"""In-memory fakes of the store and the workers, with injected faults."""
 
 import dataclasses
 import threading
@@ -11,7 +11,7 @@
 
 
 class MemoryStore(interfaces.Store):
-    """Keep items in memory; lose, refuse or delay calls on demand."""
+    """A store in memory that can lose, refuse or delay calls."""
 
     def __init__(self) -> None:
         self.lock = threading.Condition()
@@ -21,8 +21,9 @@
         self.leases: dict[int, set[str]] = {}
         self.leases_granted = 0
         self.refuse = False
-        # Transactions that are carried out although no answer comes back,
-        # and those that are lost altogether.
+        # How many of the next commits are applied without an answer
+        # (lose_answers), are lost (lose_calls) or are held back until
+        # deliver_late() (keep_late).
         self.lose_answers = 0
         self.lose_calls = 0
         self.delayed: list[messages.Transaction] = []
@@ -80,7 +81,7 @@
             return revision
 
     def deliver_late(self) -> None:
-        """Carry out what was held back, if its conditions still hold."""
+        """Apply delayed transactions whose conditions still hold."""
         with self.lock:
             held, self.delayed = self.delayed, []
             for transaction in held:
@@ -131,7 +132,7 @@
                 raise interfaces.LeaseEnded(str(lease))
 
     def end_lease(self, lease: int) -> None:
-        """Let a lease lapse: its keys go."""
+        """Let a lease expire, which deletes its keys."""
         with self.lock:
             keys = self.leases.pop(lease, set())
             if keys:
@@ -141,7 +142,7 @@
             self.lock.notify_all()
 
     def compact(self) -> None:
-        """Drop the history."""
+        """Discard the history of changes."""
         with self.lock:
             self.oldest_revision = self.revision + 1
             self.revision += 1
@@ -150,7 +151,7 @@
 
 @dataclasses.dataclass
 class Run:
-    """A run on a memory worker."""
+    """A run on a MemoryWorker."""
 
     task: messages.TaskId
     run: int
@@ -159,16 +160,20 @@
     figure: float = 0.0
 
 
-# How long a worker lives on with a task that crashes it.
+# How long after its start a task crashes its worker.
 CRASH_DELAY_S = 0.01
 
 
 class MemoryWorker(interfaces.Worker):
-    """Obey orders as a worker does: fences, runs, leases, ends."""
+    """A worker in memory, with fences, runs, leases and reports of ends.
+
+    A worker that has restarted answers as another incarnation.
+    """
 
     def __init__(self, worker_id: str) -> None:
         self.worker_id = worker_id
-        # Jobs whose tasks crash it, how soon, and whom it tells of that.
+        # Jobs whose tasks crash the worker, after how many seconds, and the
+        # callback for the crash.
         self.crashing: dict[str, float] = {}
         self.on_crash: typing.Callable[[], None] = lambda: None
         self.crashed = False
@@ -177,6 +182,7 @@
         self.clock_offset = 1000.0
         self.lease_end_ms = 0.0
         self.runs: dict[tuple[messages.TaskId, int], Run] = {}
+        # The highest run of each task that has ended or was stopped.
         self.ended_run: dict[messages.TaskId, int] = {}
         self.ended: list[messages.EndedTask] = []
         self.end_number = 0
@@ -208,7 +214,7 @@
             self._check(fence)
             self.acknowledged_upto = max(self.acknowledged_upto, recorded_upto)
             self.ended = [e for e in self.ended
-                          if e.end_number > recorded_upto]
+                          if e.number > recorded_upto]
             self.lease_end_ms = max(self.lease_end_ms, lease_end_ms or 0.0)
             if wait_ms and not self.ended:
                 self.lock.wait(min(wait_ms, 30) / 1000.0)
@@ -241,7 +247,7 @@
 
     def crash(self, cause: tuple[messages.TaskId, int] | None = None
               ) -> None:
-        """End without a word, if the run that is the cause still runs."""
+        """Crash without an answer, unless the run that causes it is over."""
         with self.lock:
             if self.crashed or (cause and cause not in self.runs):
                 return
@@ -267,7 +273,7 @@
 
     def finish(self, task: messages.TaskId, how: str = messages.DONE,
                saved: str = "") -> None:
-        """End whatever run of a task is here."""
+        """End all runs of a task on this worker."""
         with self.lock:
             for key in list(self.runs):
                 if key[0] == task:
@@ -287,7 +293,7 @@
 
 
 class MemoryWorkerList(interfaces.WorkerList):
-    """List workers in memory."""
+    """A fixed list of workers."""
 
     def __init__(self, entries: typing.Iterable[messages.WorkerEntry]
                  ) -> None:
@@ -297,14 +303,14 @@
         return self.entries
 
 
-# Lets lasting tasks take a whole fleet, for tests of a full one.
+# Lets long-running tasks occupy the whole fleet, for tests of a full fleet.
 NO_RESERVED_CAPACITY = policy_mod.Policy(
     keep_room_for_short_work=False, spread_lasting_jobs=False)
 
 
 def entry(number: int, cpu: int = 4000, **overrides: typing.Any
           ) -> messages.WorkerEntry:
-    """Return the entry of a worker of four cores."""
+    """Return the list entry of a worker, by default of four cores."""
     fields: dict[str, typing.Any] = {
         "service": "desk", "address": f"10.0.0.{number}:80",
         "data_centre": "dc", "draining": False,
@@ -316,7 +322,7 @@
 
 def job(job_id: str, *steps: messages.Step, **overrides: typing.Any
         ) -> messages.Job:
-    """Return a job of the queue "checks"."""
+    """Return a job of the queue "checks", by default of one task."""
     fields: dict[str, typing.Any] = {
         "queue": "checks", "service": "desk", "priority": 0,
         "max_attempts": 2, "accepted_ms": 0.0, "spec": "spec of " + job_id}
@@ -326,7 +332,7 @@
 
 
 def configuration() -> messages.Configuration:
-    """Return a configuration of an urgent and a patient queue."""
+    """Return a configuration of a high- and a low-priority queue."""
     return messages.Configuration(1, (
         messages.Queue("checks", "h", "/c/", "desk", 0, 2),
         messages.Queue("renewals", "h", "/r/", "desk", 2, 2)))
