--- a/tests/test_fleet_regressions.py
+++ b/tests/test_fleet_regressions.py
@@ -1,4 +1,7 @@
-"""Show faults that a reading of the mend for lost lasting tasks found."""
+"""Regression tests of placement under load and of start failures.
+
+They guard against long-running tasks that stay down and against long rounds.
+"""
 
 import threading
 import time
@@ -22,75 +25,75 @@
 WORKERS = 100
 
 
-def hold_back(bench: test_fleet_state.Bench) -> None:
-    """Give the roomiest worker all the starts that may wait to be sent."""
+def fill_unsent_starts(bench: test_fleet_state.Bench) -> None:
+    """Give the worker with most free CPU its maximum of unsent starts."""
     bench.add(fleetfakes.job("first", messages.Step(
         workerstate.UNSENT_STARTS, messages.Resources(100, 10))))
     rounds.place(bench.state, bench.now, 0)
 
 
-@pytest.mark.parametrize(("few", "many"), [(20, 80), (50, 200)])
-def test_a_worker_that_is_behind_with_starts_makes_no_round_long(
-        few, many, monkeypatch):
-    """Look at the fleet once, also where room waits for starts to be sent.
+@pytest.mark.parametrize(("few_jobs", "many_jobs"), [(20, 80), (50, 200)])
+def test_round_stays_cheap_when_a_worker_has_unsent_starts(
+        few_jobs, many_jobs, monkeypatch):
+    """Do not search all workers for each task that fits a blocked worker.
 
-    Symptom: rounds take seconds again, so that starts, reports and leases
-    wait for the lock.  Events: one worker has as many unsent starts as it
-    may have and room for more; many tasks wait.  Cause: a task that finds
-    its room there is neither started nor noted as a shortage, so that every
-    waiting task, not just every step, searches all workers in every round.
-    Evidence: with 176 workers and 600 jobs of 34 tasks a round took 17.8 ms
-    of processor time, and 1,795 ms with one such worker.
+    One worker has its maximum of unsent starts and free capacity for more,
+    and many tasks wait.  If a task that fits only there is neither started
+    nor remembered as unplaceable, each waiting task instead of each step
+    searches all workers in every round.  Starts, reports and leases then wait
+    for the lock: with 176 workers and 600 jobs of 34 tasks, a round took
+    1,795 ms of CPU time with one such worker, and 17.8 ms without.
     """
-    looks = []
+    probes = []
     allowed = placing.allowed
 
-    def counted(*args):
-        looks.append(args)
+    def counting_allowed(*args):
+        probes.append(args)
         return allowed(*args)
 
-    monkeypatch.setattr(placing, "allowed", counted)
-    costs = []
-    for jobs in (few, many):
+    monkeypatch.setattr(placing, "allowed", counting_allowed)
+    probe_counts = []
+    for jobs in (few_jobs, many_jobs):
         bench = test_fleet_state.Bench(
             *(fleetfakes.entry(n) for n in range(WORKERS)),
             fleetfakes.entry(WORKERS, cpu=20_000),
             policy=fleetfakes.NO_RESERVED_CAPACITY)
-        bench.add(fleetfakes.job("lasting", messages.Step(
+        bench.add(fleetfakes.job("long-running", messages.Step(
             WORKERS, messages.Resources(3900, 10), perpetual=True,
             max_per_worker=1)), 19)
         while bench.place():
             pass
-        hold_back(bench)
+        fill_unsent_starts(bench)
         for n in range(jobs):
             bench.add(fleetfakes.job(f"j{n}", messages.Step(
                 3, messages.Resources(1000 + n, 10))), 30 + n)
-        looks.clear()
+        probes.clear()
         rounds.place(bench.state, bench.now, 0)
-        costs.append(len(looks))
-    # A look at the one worker for each task that waits would do.
-    assert costs[1] - costs[0] <= 5 * (many - few)
+        probe_counts.append(len(probes))
+    # One probe of the blocked worker per waiting task would be enough.
+    assert probe_counts[1] - probe_counts[0] <= 5 * (many_jobs - few_jobs)
 
 
-@pytest.mark.parametrize(("urgent", "least", "most"), [
+@pytest.mark.parametrize(("urgent", "min_stops", "max_stops"), [
     (1, 0, 0), (3, 2, 2), (6, 2, 3),
-], ids=["room-behind-starts", "two-too-many", "five-too-many"])
-def test_room_behind_starts_is_counted_on_once(urgent, least, most):
-    """Make room for urgent tasks that a worker which is behind cannot hold.
-
-    Symptom: urgent tasks wait beside patient runs that could give way.
-    Events: one worker has its full number of unsent starts, say because its
-    calls get no answer, and room for one more task.  Cause: every waiting
-    task counts on that room, so none gets room made elsewhere.
+], ids=["fits-behind-starts", "two-too-many", "five-too-many"])
+def test_capacity_behind_unsent_starts_is_counted_once(
+        urgent, min_stops, max_stops):
+    """Preempt for urgent tasks that do not fit a worker with unsent starts.
+
+    One worker has its maximum of unsent starts, for example because its calls
+    get no answer, and capacity for one more task.  If every waiting task
+    counts on that capacity, urgent tasks wait although low-priority runs
+    elsewhere could be preempted.
     """
     bench = test_fleet_state.Bench(
         fleetfakes.entry(0, cpu=3000), fleetfakes.entry(1, cpu=2000))
-    bench.add(fleetfakes.job("patient", messages.Step(
+    bench.add(fleetfakes.job("low-priority", messages.Step(
         3, messages.Resources(1000, 10), max_per_worker=2), queue="renewals",
         priority=2), 11)
     while bench.place():
         pass
-    # Where the patient runs are: two on i-1 and one on i-0.
+    # Two of the low-priority runs are on i-1, and one is on i-0.
     assert len(bench.state.workers["i-1"].tasks) == 2
     bench.add(fleetfakes.job("first", messages.Step(
         workerstate.UNSENT_STARTS, messages.Resources(100, 10))), 12)
@@ -99,138 +102,137 @@
     bench.add(fleetfakes.job("urgent", messages.Step(
         urgent, messages.Resources(1000, 10))), 21)
     rounds.place(bench.state, bench.now, 0)
-    assert least <= len(bench.stops()) <= most
+    assert min_stops <= len(bench.stops()) <= max_stops
 
 
-@pytest.mark.parametrize(("fill_cpu", "other_cpu"), [
+@pytest.mark.parametrize(("best_effort_cpu", "other_cpu"), [
     (4000, 4000), (3900, 4000),
 ])
-def test_a_task_that_fills_hides_no_room_from_others(fill_cpu, other_cpu):
-    """Start a task on an empty worker also if a filling one found no room.
-
-    Symptom: a task is not started though a worker is empty.  Events: a task
-    that fills and names no image waits, because it needs 1.05 times its
-    processors to be left over; one that reserves as many comes after it.
-    Cause: the scope of a shortage tells filling tasks from others by their
-    image alone, which may be empty.
+def test_unplaceable_best_effort_task_does_not_hide_an_empty_worker(
+        best_effort_cpu, other_cpu):
+    """Start a task on an empty worker that a best-effort one does not fit.
+
+    A best-effort task without an image waits, because it needs 1.05 times its
+    CPU to be unused; a task that reserves the same CPU comes after it.  If
+    remembered misses distinguish best-effort tasks from others only by the
+    image, which may be empty, the second task is not started either.
     """
     bench = test_fleet_state.Bench(fleetfakes.entry(0))
-    bench.add(fleetfakes.job("fill", messages.Step(
-        1, messages.Resources(fill_cpu, 10), fills=True)))
+    bench.add(fleetfakes.job("best-effort", messages.Step(
+        1, messages.Resources(best_effort_cpu, 10), fills=True)))
     bench.add(fleetfakes.job("other", messages.Step(
         1, messages.Resources(other_cpu, 10))), 21)
     assert bench.place() == ["other.0.0.0@i-0"]
 
 
-@pytest.mark.parametrize("fate", [
-    interfaces.UNHEALTHY, "no lease may be given", "taken back"])
-def test_a_start_that_failed_does_not_end_the_time_a_task_is_down(fate):
-    """Count the time a lasting task is down from its last run.
+@pytest.mark.parametrize("outcome", [
+    interfaces.UNHEALTHY, "no lease may be given", "withdrawn"])
+def test_failed_start_does_not_reset_the_downtime(outcome):
+    """Count the downtime of a long-running task from its last run.
 
-    Symptom: a lasting task is down for 4 s more than it need be and counts
-    as lost.  Events: its run lapses; its next start waits to be sent and is
-    then rejected, or taken back; only 4 s after that it goes first.
-    Cause: an order that is not carried out yet ends the time for which it
-    is taken to be down, and the time then begins anew.
+    The run of the task lapses, and its next start waits to be sent and is
+    then rejected or withdrawn.  If an order that is not carried out yet resets
+    the downtime, the task gets precedence only 4 s after that, is down for
+    4 s longer than necessary and counts as lost.
     """
     bench = test_fleet_state.Bench(fleetfakes.entry(0))
-    bench.add(fleetfakes.job("lasting", messages.Step(
+    bench.add(fleetfakes.job("long-running", messages.Step(
         1, messages.Resources(1000, 10), perpetual=True)))
-    (where,) = bench.place()
-    bench.end("i-0", where.split("@")[0], 1, "lapsed")
+    (placement,) = bench.place()
+    bench.end("i-0", placement.split("@")[0], 1, "lapsed")
     down_at = bench.now
     for _ in range(3):
         rounds.place(bench.state, bench.now, 0)
         bench.now += 1.0
     worker_id, order = bench.orders[-1]
     assert order.run == 2
-    if fate == "taken back":
+    if outcome == "withdrawn":
         bench.state.worker_silent(worker_id, "no answer")
         assert not answers.still_wanted(bench.state, worker_id, order)
     else:
-        answers.rejected(bench.state, worker_id, order, fate, bench.now)
-    state = bench.state.jobs["lasting"]
-    for late_s in (0.0, 0.5):
-        bench.now = down_at + ordering.DOWN_S + late_s
+        answers.rejected(bench.state, worker_id, order, outcome, bench.now)
+    state = bench.state.jobs["long-running"]
+    for delay_s in (0.0, 0.5):
+        bench.now = down_at + ordering.DOWN_S + delay_s
         rounds.place(bench.state, bench.now, 0)
         assert state.tasks[0, 0][0].phase == progress.IDLE
     assert ordering.interrupted(state, bench.now)
 
 
 @pytest.mark.parametrize("long_ms", [20_000, 60_000])
-def test_a_gap_is_kept_where_it_opens_soon(long_ms):
-    """Wait for runs of a second, not for those of a minute.
-
-    Symptom: a lasting task stays down for as long as the longest run of a
-    worker.  Events: one worker has a wide gap beside a run of a minute,
-    another is kept busy by tasks of a second.  Cause: the gap is kept where
-    it is widest now, whatever must end before it is wide enough; where it
-    would open soon, narrow tasks go on taking it.
+def test_reservation_is_made_where_capacity_is_freed_soonest(long_ms):
+    """Reserve capacity next to runs of a second, not of a minute.
+
+    One worker has much free capacity next to a run of a minute; another is
+    kept busy by tasks of a second.  If the reservation is made where most
+    capacity is free now, regardless of what must end until there is enough,
+    small tasks keep taking the capacity that is freed soon, and a long-running
+    task stays down for as long as the longest run.
     """
     bench = test_fleet_state.Bench(fleetfakes.entry(0), fleetfakes.entry(1))
     bench.add(fleetfakes.job("long", messages.Step(
         1, messages.Resources(1500, 10), estimate_ms=long_ms)), 11)
-    (where,) = bench.place()
-    quick = "i-1" if where.endswith("i-0") else "i-0"
-    bench.add(fleetfakes.job("lasting", messages.Step(
+    (placement,) = bench.place()
+    quick_worker = "i-1" if placement.endswith("i-0") else "i-0"
+    bench.add(fleetfakes.job("long-running", messages.Step(
         1, messages.Resources(3000, 10), perpetual=True)), 12)
-    assert bench.place() == [f"lasting.0.0.0@{quick}"]
-    bench.end(quick, "lasting.0.0.0", 1, "lapsed")
+    assert bench.place() == [f"long-running.0.0.0@{quick_worker}"]
+    bench.end(quick_worker, "long-running.0.0.0", 1, "lapsed")
     down_at = bench.now
-    number, jobs = 1, 0
-    ends: dict[str, float] = {}
+    end_number, finite_jobs = 1, 0
+    end_times: dict[str, float] = {}
     while bench.now < down_at + 9.0:
-        for name in [n for n, at in ends.items() if at <= bench.now]:
-            del ends[name]
-            number += 1
-            bench.end(quick, name, number, messages.DONE)
+        for name in [n for n, at in end_times.items() if at <= bench.now]:
+            del end_times[name]
+            end_number += 1
+            bench.end(quick_worker, name, end_number, messages.DONE)
         while len(bench.state.active) < 20:
-            jobs += 1
-            bench.add(fleetfakes.job(f"short{jobs}", messages.Step(
+            finite_jobs += 1
+            bench.add(fleetfakes.job(f"finite{finite_jobs}", messages.Step(
                 1, messages.Resources(1000, 10), estimate_ms=1000,
-                requires=f"r{quick[-1]}")), 100 + jobs)
+                requires=f"r{quick_worker[-1]}")), 100 + finite_jobs)
         placed = bench.place()
-        if any(name.startswith("lasting") for name in placed):
+        if any(name.startswith("long-running") for name in placed):
             break
         for name in placed:
-            ends[name.split("@")[0]] = bench.now + 0.8 + 0.8 * (
-                len(ends) * 0.618034 % 1.0)
+            end_times[name.split("@")[0]] = bench.now + 0.8 + 0.8 * (
+                len(end_times) * 0.618034 % 1.0)
     assert bench.now < down_at + 9.0
 
 
-def test_a_gap_is_kept_while_runs_stop_elsewhere():
-    """Keep the gap that has grown until the task is in it.
+def test_reservation_is_kept_while_runs_stop_on_another_worker():
+    """Keep a reservation until its task has been placed.
 
-    Symptom and cause as for a task that is wider than any gap: narrow tasks
-    take what would grow.  Events: the task's gap has grown on one worker;
-    on another runs are told to stop, and with what is free there their room
-    would do.  Cause: the task then counts on room to come, so no claim is
-    made in that round, and narrow tasks take the free part of both workers.
-    Evidence: played with 20 workers full of narrow tasks of 0.8 to 1.6 s of
-    which 100 a second are cancelled and stop for 0.5 s, a lasting task as
-    wide as a worker was not back in 30 s in 5 of 5 tries.
+    Capacity has been reserved for a task on one worker.  On another, runs are
+    ordered to stop, and what they free would be enough together with what is
+    free there.  If the task then counts on the capacity being freed, no
+    reservation is made in that round, and small tasks take the free capacity
+    of both workers.  In simulations with 20 workers full of small tasks of
+    0.8 to 1.6 s, of which 100 a second were cancelled and took 0.5 s to stop,
+    a long-running task as large as a worker was not back after 30 s in 5 of 5
+    runs.
     """
     bench = test_fleet_state.Bench(fleetfakes.entry(0), fleetfakes.entry(1))
-    bench.add(fleetfakes.job("lasting", messages.Step(
+    bench.add(fleetfakes.job("long-running", messages.Step(
         1, messages.Resources(3000, 10), perpetual=True)), 12)
-    (where,) = bench.place()
-    name, first = where.split("@")
-    bench.end(first, name, 1, "lapsed")
-    lasting = bench.state.jobs["lasting"].tasks[0, 0][0]
-    bench.add(fleetfakes.job("narrow", messages.Step(
+    (placement,) = bench.place()
+    name, first_worker = placement.split("@")
+    bench.end(first_worker, name, 1, "lapsed")
+    long_running_task = bench.state.jobs["long-running"].tasks[0, 0][0]
+    bench.add(fleetfakes.job("small", messages.Step(
         8, messages.Resources(1000, 10))), 13)
     bench.now += 0.5
-    lasting.not_before = bench.now + 4.0
+    long_running_task.not_before = bench.now + 4.0
     assert len(bench.place()) == 8
-    lasting.not_before = 0.0
+    long_running_task.not_before = 0.0
     bench.now += ordering.DOWN_S + 0.5
-    numbers = {"i-0": 1, "i-1": 1}
+    end_numbers = {"i-0": 1, "i-1": 1}
 
     def end(worker_id: str) -> None:
         run = next(r for r, t in bench.state.workers[worker_id].tasks.items()
                    if t.phase == progress.RUNNING)
-        numbers[worker_id] += 1
-        bench.end(worker_id, str(run[0]), numbers[worker_id],
+        end_numbers[worker_id] += 1
+        bench.end(worker_id, str(run[0]), end_numbers[worker_id],
                   messages.DONE, run[1])
 
     bench.add(fleetfakes.job("more", messages.Step(
@@ -238,57 +240,55 @@
     end("i-0")
     end("i-0")
     assert not bench.place()
-    # The gap on i-0 is kept: the lasting task needs one more run to end.
+    # The reservation on i-0 is kept: the task needs one more run to end.
     end("i-1")
     running = [t for t in bench.state.workers["i-1"].tasks.values()
                if t.phase == progress.RUNNING]
     for task in running[:2]:
         bench.state.stop_run(task, "cancelled")
-    kept = bench.state.workers["i-0"].free().cpu
+    free_cpu = bench.state.workers["i-0"].free().cpu
     bench.place()
     bench.place()
-    assert (bench.state.workers["i-0"].free().cpu == kept
+    assert (bench.state.workers["i-0"].free().cpu == free_cpu
             or bench.state.workers["i-1"].free().cpu >= 1000)
 
 
-@pytest.mark.parametrize("held_up_s", [0.8, 1.6])
-def test_one_long_round_delays_the_next_start_little(held_up_s, monkeypatch):
-    """Place what has come at once when one round was held up.
+@pytest.mark.parametrize("round_s", [0.8, 1.6])
+def test_pause_after_a_long_round_is_bounded(round_s, monkeypatch):
+    """Resume placement soon after a round that was delayed.
 
-    Symptom: with an idle fleet a task starts seconds after it came.  Events:
-    the VM is slowed, or the lock is held, while a round is under way; the
-    round counts as long and an equally long pause follows, in which nothing
-    is placed and no news is looked at.  Cause: the pause has no bound.
+    The VM is slowed, or the lock is held, during a round.  The round counts
+    as long and is followed by an equally long pause, in which nothing is
+    placed and no reports are processed.  Without a bound on the pause, a task
+    on an idle fleet starts seconds after it arrived.
     """
     owner = owner_mod.Owner(
         fleetfakes.MemoryStore(), fleetfakes.MemoryWorkerList(()),
         lambda entry: None, fleetfakes.configuration, 5, 6000.0)
-    placed = []
+    placed_at = []
 
     def place(fleet, now, wall_ms):
-        placed.append(clock.now())
-        if len(placed) == 1:
-            time.sleep(held_up_s)
+        placed_at.append(clock.now())
+        if len(placed_at) == 1:
+            time.sleep(round_s)
 
     monkeypatch.setattr(rounds, "place", place)
     owner.may_lease = lambda: True
     thread = threading.Thread(target=owner._rounds)
     thread.start()
-    time.sleep(2 * held_up_s + 0.5)
+    time.sleep(2 * round_s + 0.5)
     owner.step_down("test over")
     thread.join()
-    assert placed[1] - placed[0] < held_up_s + 0.5
+    assert placed_at[1] - placed_at[0] < round_s + 0.5
 
 
-def test_jobs_that_wait_are_counted_once_a_second(monkeypatch):
-    """Count no more often than the counts may be written.
+def test_waiting_jobs_are_counted_at_most_once_a_second(monkeypatch):
+    """Count waiting jobs no more often than the counts may be written.
 
-    Symptom: recording holds the fleet's lock for milliseconds many times a
-    second.  Events: the numbers of waiting jobs do not change between two
-    flushes.  Cause: the time of the last count is noted only when the counts
-    have changed, so that each flush counts all tasks of waiting jobs.
-    Evidence: 2.0 ms of processor time a count at 600 jobs of 34 tasks that
-    wait, up to 25 times a second and more when jobs end.
+    If the time of the last count is recorded only when the counts have
+    changed, every flush counts all tasks of waiting jobs and holds the fleet's
+    lock meanwhile.  With 600 waiting jobs of 34 tasks, a count took 2.0 ms of
+    CPU time, up to 25 times a second and more often when jobs end.
     """
     bench = test_fleet_state.Bench()
     bench.add(fleetfakes.job("j"))
@@ -298,15 +298,15 @@
     bench.state.fence = fence
     recorder = recorder_mod.Recorder(
         store, bench.state, "owner", lambda: True, lambda reason: None,
-        lambda marks: None)
+        lambda stored_ends: None)
     counts = []
     waiting = bench.state.waiting
 
-    def counted():
+    def counting_waiting():
         counts.append(1)
         return waiting()
 
-    monkeypatch.setattr(bench.state, "waiting", counted)
+    monkeypatch.setattr(bench.state, "waiting", counting_waiting)
     now = [1000.0]
     monkeypatch.setattr(recorder_mod.time, "monotonic", lambda: now[0])
     for _ in range(50):
--- a/tests/test_fleet_usage.py
+++ b/tests/test_fleet_usage.py
@@ -1,4 +1,4 @@
-"""Show what is told of a fleet's use and of its owner's own work."""
+"""Tests of the usage statistics, gauges and run log of a fleet's owner."""
 
 import collections
 import threading
@@ -19,14 +19,16 @@
 from tests import fleetfakes
 from tests import test_fleet_takeover
 
-NARROW = messages.Step(1, messages.Resources(1000, 10))
-WIDE = messages.Step(1, messages.Resources(3000, 10), perpetual=True)
-SECOND_WIDE = messages.Step(2, messages.Resources(3500, 10), perpetual=True)
+FINITE_STEP = messages.Step(1, messages.Resources(1000, 10))
+LONG_RUNNING_STEP = messages.Step(
+    1, messages.Resources(3000, 10), perpetual=True)
+LARGE_LONG_RUNNING_STEP = messages.Step(
+    2, messages.Resources(3500, 10), perpetual=True)
 
 
 @pytest.fixture(name="lines")
 def fixture_lines(monkeypatch):
-    """Collect what is logged as (event, fields)."""
+    """Collect log lines as (event, fields)."""
     lines = []
     monkeypatch.setattr(events, "emit",
                         lambda event, **fields: lines.append((event, fields)))
@@ -34,7 +36,7 @@
 
 
 def make_fleet(workers: int = 2) -> state_mod.FleetState:
-    """Return a fleet of usable workers of four cores each."""
+    """Return a fleet of usable workers with four cores each."""
     fleet = state_mod.FleetState(10, 6000.0, lambda worker, order: None,
                                  fleetfakes.configuration)
     for number in range(workers):
@@ -45,17 +47,17 @@
 
 
 def report(fleet, worker_id, ended=()):
-    """Report all runs of a worker as going on but for those that ended."""
-    over = {(end.task, end.run) for end in ended}
+    """Report all runs of a worker as running except those that ended."""
+    ended_runs = {(end.task, end.run) for end in ended}
     running = [messages.RunningTask(task, run, "", 0)
                for task, run in fleet.workers[worker_id].tasks
-               if (task, run) not in over]
+               if (task, run) not in ended_runs]
     return reports.take(fleet, worker_id, messages.WorkerReport(
         1000.0, tuple(running), tuple(ended)), 100.0, 100.0)
 
 
-def lose(fleet, state):
-    """Let the tasks of a job lose their runs at 100 s."""
+def lose_runs(fleet, state):
+    """Let the tasks of a job lose their runs at time 100 s."""
     for task in state.all_tasks():
         worker = fleet.workers[task.worker_id]
         worker.release((task.task, task.run), task.step)
@@ -63,93 +65,95 @@
     state.downtime_s(100.0)
 
 
-@pytest.mark.parametrize(("steps", "down", "longest_s", "widest", "waiting"), [
-    ((NARROW,), 0, 0.0, 0.0, 1),
-    ((WIDE,), 1, 7.0, 3.0, 1),
-    ((SECOND_WIDE,), 2, 7.0, 3.5, 2),
-    ((NARROW, SECOND_WIDE), 2, 7.0, 3.5, 3),
-], ids=["short", "lasting", "two-tasks", "beside-short"])
-def test_usage_tells_lasting_tasks_that_ran_and_are_down(
-        steps, down, longest_s, widest, waiting):
-    """Tell from one line whether a lasting task waits for a wide gap.
+@pytest.mark.parametrize((
+    "steps", "down", "longest_s", "widest_cores", "waiting"), [
+    ((FINITE_STEP,), 0, 0.0, 0.0, 1),
+    ((LONG_RUNNING_STEP,), 1, 7.0, 3.0, 1),
+    ((LARGE_LONG_RUNNING_STEP,), 2, 7.0, 3.5, 2),
+    ((FINITE_STEP, LARGE_LONG_RUNNING_STEP), 2, 7.0, 3.5, 3),
+], ids=["finite", "long-running", "two-tasks", "with-finite"])
+def test_usage_reports_interrupted_long_running_tasks(
+        steps, down, longest_s, widest_cores, waiting):
+    """Report for how long interrupted tasks are down, and the CPU they need.
 
-    Symptom: a lasting task without a run for 55 s, and nothing in the logs
-    that showed for how long or what room it needed.
+    Guards against a long-running task that is down for 55 s while no log line
+    shows for how long it waits or how much CPU it needs.
     """
     fleet = make_fleet(3)
     state = fleet.add_job(fleetfakes.job("j", *steps), 20)
     rounds.place(fleet, 100.0, 1e12)
     assert not usage.measure(fleet, 100.0).lasting_down
-    lose(fleet, state)
+    lose_runs(fleet, state)
     found = usage.measure(fleet, 107.0)
     assert (found.lasting_down, found.lasting_down_s,
-            found.lasting_down_cores) == (down, longest_s, widest)
+            found.lasting_down_cores) == (
+                down, longest_s, widest_cores)
     assert found.waiting == {0: waiting}
     assert found.widest_gap_cores == 4.0
 
 
-def test_a_lasting_task_that_never_ran_is_not_down():
+def test_usage_does_not_report_unstarted_long_running_task_as_down():
     fleet = make_fleet(0)
-    fleet.add_job(fleetfakes.job("j", WIDE), 20)
+    fleet.add_job(fleetfakes.job("j", LONG_RUNNING_STEP), 20)
     rounds.place(fleet, 100.0, 1e12)
     found = usage.measure(fleet, 107.0)
     assert found.lasting_down == 0
     assert found.lasting_down_s == 0.0
 
 
-@pytest.mark.parametrize(("silent", "unheard", "told"), [
+@pytest.mark.parametrize(("silent", "unheard", "expected"), [
     ((), (), (3, 0, 0)), (("i-0",), (), (3, 1, 0)),
     (("i-0", "i-2"), ("i-1", "i-8"), (3, 2, 2))],
-    ids=["all-answer", "one-silent", "unheard"])
-def test_usage_counts_workers_that_do_not_answer(silent, unheard, told):
+    ids=["all-respond", "one-unresponsive", "not-heard-from"])
+def test_usage_counts_unresponsive_workers(silent, unheard, expected):
     fleet = make_fleet(3)
     fleet.expect(unheard, 1e9)
     for worker_id in silent:
         fleet.worker_silent(worker_id, "no answer")
     found = usage.measure(fleet, 100.0)
     assert (found.workers, found.workers_silent,
-            found.workers_unheard) == told
+            found.workers_unheard) == expected
 
 
-class WatchedLock:
-    """A lock that counts how often it was taken."""
+class CountingLock:
+    """A lock that counts its acquisitions."""
 
     def __init__(self) -> None:
         self.lock = threading.RLock()
-        self.taken = 0
+        self.acquisitions = 0
 
     def __enter__(self) -> None:
         self.lock.acquire()
-        self.taken += 1
+        self.acquisitions += 1
 
     def __exit__(self, *_: object) -> None:
         self.lock.release()
 
 
-def test_usage_gives_the_lock_back_between_jobs():
-    """Let reports and leases in while hundreds of jobs are counted."""
+def test_usage_releases_the_lock_between_jobs():
+    """Do not block reports and leases while hundreds of jobs are counted."""
     fleet = make_fleet(1)
     for number in range(50):
         fleet.add_job(fleetfakes.job(f"j{number}"), 20 + number)
-    fleet.lock = WatchedLock()
+    fleet.lock = CountingLock()
     usage.measure(fleet, 100.0)
-    assert fleet.lock.taken >= 50
+    assert fleet.lock.acquisitions >= 50
 
 
-@pytest.mark.parametrize(("rounds", "told"), [
+@pytest.mark.parametrize(("rounds", "expected"), [
     ((), {"rounds": 0, "rounds_busy_s": 0.0, "rounds_waited_s": 0.0}),
     (((0.01, 0.04),),
      {"rounds": 1, "rounds_busy_s": 0.04, "rounds_waited_s": 0.01}),
     (((0.01, 0.04), (0.03, 0.02)),
      {"rounds": 2, "rounds_busy_s": 0.06, "rounds_waited_s": 0.04})],
     ids=["none", "one", "two"])
-def test_rounds_are_counted_since_the_line_before(rounds, told):
+def test_round_times_since_an_earlier_copy_are_differences(rounds, expected):
     times = usage.RoundTimes()
     times.add(5.0, 9.0)
     earlier = usage.RoundTimes(times.rounds, times.busy_s, times.waited_s)
     for waited_s, took_s in rounds:
         times.add(waited_s, took_s)
-    assert times.since(earlier) == told
+    assert times.since(earlier) == expected
     assert times.longest_s == 9.0
 
 
@@ -157,14 +161,14 @@
     (0, []), (1, [1]), (runlog.RUNS_PER_LINE, [100]),
     (runlog.RUNS_PER_LINE + 1, [100, 1])],
     ids=["none", "one", "full", "two-lines"])
-def test_ordered_runs_share_lines(lines, count, sizes):
+def test_ordered_runs_are_logged_many_per_line(lines, count, sizes):
     fleet = make_fleet(1)
     step = messages.Step(count, messages.Resources(1, 1))
     if count:
         fleet.add_job(fleetfakes.job("j", step), 20)
     lines.clear()
     while fleet.run_log.ordered_total < count:
-        # A worker gets further starts when those before have been sent.
+        # A worker gets more starts only after the earlier ones were sent.
         rounds.place(fleet, 100.0, 1e12)
         for run in list(fleet.workers["i-0"].unsent):
             fleet.workers["i-0"].start_sent(run)
@@ -181,7 +185,7 @@
     (messages.DONE,), (messages.FAILED,),
     (messages.DONE, messages.FAILED, messages.DONE)],
     ids=["done", "failed", "mixed"])
-def test_ended_runs_share_a_line_for_each_way_to_end(lines, hows):
+def test_ended_runs_are_logged_once_in_one_line_per_way_to_end(lines, hows):
     fleet = make_fleet(1)
     fleet.add_job(fleetfakes.job("j", messages.Step(
         len(hows), messages.Resources(1, 1))), 20)
@@ -191,7 +195,7 @@
     ends = [messages.EndedTask(n + 1, messages.TaskId("j", 0, 0, n), 1, how,
                                "") for n, how in enumerate(hows)]
     assert report(fleet, "i-0", ends)
-    # Reports repeat ends until they are stored; they are logged once.
+    # Reports repeat ends until they are stored, but each is logged once.
     assert not report(fleet, "i-0", ends)
     fleet.run_log.flush()
     found = {}
@@ -208,8 +212,8 @@
 
 @pytest.mark.parametrize(("after_s", "written"), [
     (0.0, 0), (0.09, 0), (0.11, 1), (5.0, 1)])
-def test_lines_on_runs_keep_their_distance(lines, after_s, written):
-    """Bound the volume of the log, whatever the number of rounds."""
+def test_lines_on_runs_are_rate_limited(lines, after_s, written):
+    """Bound the volume of the log for any number of rounds."""
     log = runlog.RunLog()
     task = messages.TaskId("j", 0, 0, 0)
     log.add_ordered(task, 1, "i-0")
@@ -220,7 +224,7 @@
     assert len(lines) == written
 
 
-def test_what_was_collected_is_written_when_an_owner_ends(lines):
+def test_collected_runs_are_logged_when_an_owner_steps_down(lines):
     fleet = test_fleet_takeover.Fleet()
     owner = fleet.take_over()
     fleet.submit(fleetfakes.job("j"))
@@ -230,17 +234,18 @@
         lambda: any(event is events.RUN_ORDERED for event, _ in lines))
 
 
-@pytest.mark.parametrize(("going_on", "ended", "sizes"), [
+@pytest.mark.parametrize(("unfinished", "ended", "sizes"), [
     (0, 2, []), (1, 0, [1]), (3, 2, [3]), (101, 1, [100, 1])],
     ids=["all-ended", "one", "some-ended", "two-lines"])
-def test_jobs_taken_over_share_lines(lines, going_on, ended, sizes):
-    """Keep the claim of an owner in the part of its log that is kept."""
+def test_jobs_taken_over_are_logged_many_per_line(
+        lines, unfinished, ended, sizes):
+    """Do not push an owner's claim out of the retained part of its log."""
     fleet = test_fleet_takeover.Fleet(0)
-    names = [f"j{number}" for number in range(going_on)]
-    over = [f"e{number}" for number in range(ended)]
-    for name in names + over:
+    names = [f"j{number}" for number in range(unfinished)]
+    ended_names = [f"e{number}" for number in range(ended)]
+    for name in names + ended_names:
         fleet.submit(fleetfakes.job(name))
-    for name in over:
+    for name in ended_names:
         fleet.store.commit(messages.Transaction(puts=(messages.Put(
             records.progress_key(name), b'{"state": "completed"}'),)))
     owner = fleet.take_over()
@@ -259,8 +264,8 @@
     assert sorted(sum(seen, [])) == sorted(names)
 
 
-def test_gauges_of_an_owner_tell_its_work():
-    """Tell a saturated owner from one that has no room to place in."""
+def test_owner_gauges_report_rounds_runs_and_leases():
+    """Distinguish a saturated owner from one without free capacity."""
     fleet = test_fleet_takeover.Fleet()
     owner = fleet.take_over()
     fleet.submit(fleetfakes.job("j"))
@@ -286,7 +291,7 @@
         assert counts[name]["count"] > 0
 
 
-def test_gauges_tell_tasks_that_wait_by_priority():
+def test_gauges_report_waiting_tasks_by_priority():
     fleet = test_fleet_takeover.Fleet(0)
     owner = fleet.take_over()
     owner.usage = usage.measure(owner.fleet, clock.now())
@@ -303,9 +308,9 @@
 
 @pytest.mark.parametrize(("seconds", "total"), [
     ((), None), ((0.5,), "0.5"), ((0.25, 0.5, 0.001), "0.751")])
-def test_text_of_metrics_holds_the_sum_of_latencies(
+def test_metrics_text_has_the_total_of_latencies(
         monkeypatch, seconds, total):
-    """Tell the share of time that was spent in a kind of call."""
+    """Show the share of time that was spent in each kind of call."""
     monkeypatch.setattr(metrics, "CALLS", metrics.Latencies())
     for value in seconds:
         metrics.CALLS.record("round", value)
@@ -313,6 +318,6 @@
     lines = text.splitlines()
     assert "fence 123456789" in lines
     assert 'events_total{event="SF1001"} 2' in lines
-    told = [line.split()[1] for line in lines
-            if line.startswith("call_total_s")]
-    assert told == ([] if total is None else [total])
+    totals = [line.split()[1] for line in lines
+              if line.startswith("call_total_s")]
+    assert totals == ([] if total is None else [total])
