--- a/sycamorefield/fleet/inbox.py
+++ b/sycamorefield/fleet/inbox.py
@@ -69,7 +69,7 @@
         job = self.add_job(item)
         if job is not None:
             events.emit(events.JOB_SEEN, job=job.job_id, queue=job.queue,
-                        revision=item.created)
+                        revision=item.created_revision)
 
     def add_job(self, item: messages.Item) -> messages.Job | None:
         """Take up a stored job; return it if it is new."""
@@ -82,7 +82,7 @@
                         reason=str(exc))
             return None
         known = job.job_id in self.fleet.jobs
-        self.fleet.add_job(job, item.created)
+        self.fleet.add_job(job, item.created_revision)
         return None if known else job
 
     def take_cancel(self, key: str) -> None:
--- a/sycamorefield/fleet/messages.py
+++ b/sycamorefield/fleet/messages.py
@@ -279,7 +279,7 @@
     key: str
     value: bytes
     revision: int
-    created: int
+    created_revision: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/sycamorefield/fleet/ordering.py
+++ b/sycamorefield/fleet/ordering.py
@@ -73,5 +73,5 @@
         place = rank(state, queue, wall_ms, now)
         if not by_lateness and place in (LATE, TOO_LATE):
             place = IN_TIME
-        return priority(state, queues), place, state.created
+        return priority(state, queues), place, state.created_revision
     return sorted(states, key=key)
--- a/sycamorefield/fleet/progress.py
+++ b/sycamorefield/fleet/progress.py
@@ -103,13 +103,14 @@
 class JobState:
     """State of a job: its tasks, and which of its state is stored.
 
-    Times are in seconds on clock.now(); created and state_revision are the
-    store's revisions of the job record and of the stored progress.
+    Times are in seconds on clock.now().  created_revision is the store's
+    revision at which the job was created, and state_revision that of its
+    stored progress (0: none).
     """
 
-    def __init__(self, job: messages.Job, created: int) -> None:
+    def __init__(self, job: messages.Job, created_revision: int) -> None:
         self.job = job
-        self.created = created
+        self.created_revision = created_revision
         self.state_revision = 0
         self.cancelled = False
         self.state = messages.PENDING
--- a/sycamorefield/fleet/rounds.py
+++ b/sycamorefield/fleet/rounds.py
@@ -489,7 +489,7 @@
             queues, wall_ms, now, fleet.policy.rank_by_lateness)
         round_ = Round(fleet, queues, _usable(fleet, now), now)
         for state in ranked:
-            if state.created <= fleet.fence and fleet.unheard:
+            if state.created_revision <= fleet.fence and fleet.unheard:
                 continue
             if not fleet.ours_alone(state):
                 continue
@@ -521,7 +521,7 @@
 def _note_arrival(round_: Round, state: progress.JobState) -> None:
     """Learn from a job whose turn has come what comes how often."""
     state.first_ready_at = round_.now
-    if state.created > round_.fleet.fence:
+    if state.created_revision > round_.fleet.fence:
         # Those of an earlier owner did not come just now.
         round_.fleet.demand.add_job(state.job, round_.now)
 
--- a/sycamorefield/fleet/state.py
+++ b/sycamorefield/fleet/state.py
@@ -102,15 +102,16 @@
 
     # Jobs
 
-    def add_job(self, job: messages.Job, created: int) -> progress.JobState:
+    def add_job(self, job: messages.Job,
+                created_revision: int) -> progress.JobState:
         """Take up a stored job; again for the same job changes nothing."""
         with self.lock:
             state = self.jobs.get(job.job_id)
             if state is not None:
                 return state
-            state = progress.JobState(job, created)
+            state = progress.JobState(job, created_revision)
             state.known_at = clock.now()
-            if created <= self.fence:
+            if created_revision <= self.fence:
                 state.run_base = self.fence * progress.RUNS_PER_TERM
             self.jobs[job.job_id] = state
             self.active[job.job_id] = state
@@ -127,7 +128,7 @@
         is older than any successor's claim, and a successor holds such jobs
         back until each worker in use has reported or its leases are over.
         """
-        return (state.created <= self.fence
+        return (state.created_revision <= self.fence
                 or state.known_at <= self.leased_until)
 
     def drop_final(self, state: progress.JobState) -> None:
--- a/tests/fleetfakes.py
+++ b/tests/fleetfakes.py
@@ -100,8 +100,9 @@
         self.revision += 1
         for put in transaction.puts:
             old = self.items.get(put.key)
-            item = messages.Item(put.key, put.value, self.revision,
-                                 old.created if old else self.revision)
+            item = messages.Item(
+                put.key, put.value, self.revision,
+                old.created_revision if old else self.revision)
             for lease_keys in self.leases.values():
                 lease_keys.discard(put.key)
             self.items[put.key] = item
@@ -179,7 +180,7 @@
         self.crashed = False
         self.lock = threading.Condition()
         self.fence = 0
-        self.clock_offset = 1000.0
+        self.clock_offset_ms = 1000.0
         self.lease_end_ms = 0.0
         self.runs: dict[tuple[messages.TaskId, int], Run] = {}
         # The highest run of each task that has ended or was stopped.
@@ -194,7 +195,7 @@
         self.pace_orders: list[messages.PaceOrder] = []
 
     def clock(self) -> float:
-        return clock.now() * 1000.0 + self.clock_offset
+        return clock.now() * 1000.0 + self.clock_offset_ms
 
     def _check(self, fence: int) -> None:
         if self.restarted:
--- a/tests/platformfakes.py
+++ b/tests/platformfakes.py
@@ -93,7 +93,8 @@
 
 
 def _row(item: messages.Item) -> Body:
-    return {"key": item.key, "rev": item.revision, "created": item.created,
+    return {"key": item.key, "rev": item.revision,
+            "created": item.created_revision,
             "value": base64.b64encode(item.value).decode()}
 
 
--- a/tests/test_fleet_machine.py
+++ b/tests/test_fleet_machine.py
@@ -258,7 +258,8 @@
         self.recorder.stopped.set()
         for job in self.jobs:
             state = self._add_job(
-                job, self.store.items[records.job_key(job.job_id)].created)
+                job, self.store.items[
+                    records.job_key(job.job_id)].created_revision)
             self._read_progress(state)
         for item in self.store.listing(records.JOB_PREFIX).items:
             if item.key.endswith(records.CANCEL_SUFFIX):
@@ -266,8 +267,9 @@
                                            -len(records.CANCEL_SUFFIX)])
         self._expect_workers()
 
-    def _add_job(self, job: messages.Job, created: int) -> progress.JobState:
-        state = self.fleet.add_job(job, created)
+    def _add_job(self, job: messages.Job,
+                 created_revision: int) -> progress.JobState:
+        state = self.fleet.add_job(job, created_revision)
         state.known_at = self.now
         return state
 
@@ -405,10 +407,10 @@
 
     def _submit(self, job: messages.Job) -> None:
         self.jobs.append(job)
-        created = self._store_key(records.job_key(job.job_id),
-                                  progress.encode_job(job))
+        created_revision = self._store_key(records.job_key(job.job_id),
+                                           progress.encode_job(job))
         if self.acting:
-            self._add_job(job, created)
+            self._add_job(job, created_revision)
 
     @stateful.precondition(lambda self: self.jobs and not self.silent)
     @stateful.rule(data=strategies.data(), happens=SELDOM)
