--- a/tests/test_fleet_machine.py
+++ b/tests/test_fleet_machine.py
@@ -82,7 +82,7 @@
 class Commit:
     """Hold a commit whose outcome isn't known, and the ends it stores."""
 
-    values: list[recorder_mod.Value]
+    values: list[recorder_mod.PendingWrite]
     marks: dict[str, int]
 
 
@@ -679,8 +679,8 @@
     def _next_commit(self) -> Commit:
         marks = {worker_id: known.processed
                  for worker_id, known in self.fleet.workers.items()}
-        values = self.recorder._job_values()
-        self.recorder._fleet_value(values)
+        values = self.recorder._job_writes()
+        self.recorder._add_workers(values)
         return Commit(values, marks)
 
     def _forget_ends(self, marks: dict[str, int]) -> None:
