--- a/sycamorefield/fleet/progress.py
+++ b/sycamorefield/fleet/progress.py
@@ -40,6 +40,7 @@
         self.job = job
         self.done = False
         self.failed_runs: set[int] = set()
+        # Highest run number known.
         self.last_run = 0
         self.saved = ""
         self.phase = IDLE
@@ -307,7 +308,7 @@
         row["steps"] = tuple(steps)
         return messages.Job(**row)
     except (KeyError, TypeError, AttributeError) as exc:
-        raise ValueError(f"not a job record: {exc!r}") from exc
+        raise ValueError(f"invalid job record: {exc!r}") from exc
 
 
 def encode_progress(state: JobState) -> bytes:
@@ -392,7 +393,7 @@
                 state.quarantine_workers[found.task] = worker_id
         state.stored_quarantine_workers = dict(state.quarantine_workers)
     except (KeyError, TypeError, AttributeError) as exc:
-        raise ValueError(f"not a progress record: {exc!r}") from exc
+        raise ValueError(f"invalid progress record: {exc!r}") from exc
 
 
 def _find_by_short_name(state: JobState, short_name: str) -> TaskState | None:
--- a/sycamorefield/fleet/recorder.py
+++ b/sycamorefield/fleet/recorder.py
@@ -51,7 +51,9 @@
 class Recorder:
     """Writes changed state; reports which ends of runs are stored.
 
-    on_ends_stored receives the highest stored end number of each worker.
+    may_act returns whether the owner may still act; on_ownership_lost
+    receives the reason for which it may not; on_ends_stored receives the
+    highest stored end number of each worker.
     """
 
     def __init__(self, store: interfaces.Store,
@@ -66,6 +68,7 @@
         self.may_act = may_act
         self.on_ownership_lost = on_ownership_lost
         self.on_ends_stored = on_ends_stored
+        # The revision of each key as last seen.
         self.revisions: dict[str, int] = {}
         self.stored_addresses: dict[str, str] | None = None
         # The stored numbers of waiting jobs, or None if unknown: those of an
--- a/sycamorefield/fleet/records.py
+++ b/sycamorefield/fleet/records.py
@@ -43,5 +43,5 @@
     """Return a stored mapping; raises ValueError if it is unreadable."""
     decoded = json.loads(value)
     if not isinstance(decoded, dict):
-        raise ValueError("not a mapping")
+        raise ValueError("stored value is not a JSON object")
     return decoded
--- a/sycamorefield/fleet/usage.py
+++ b/sycamorefield/fleet/usage.py
@@ -25,16 +25,19 @@
 
     capacity_cores: float
     reserved_cores: float
+    # Share of the workers' memory, 0 to 1.
     reserved_memory: float
+    # What best-effort runs request; it is not reserved.
     filling_cores: float
+    # The most CPU that is free on a single worker.
     widest_gap_cores: float
     workers: int
     workers_silent: int
     workers_unheard: int
     # Reserved for quarantine runs of tasks suspected of crashing workers.
     workers_set_aside: int
-    # What long-running tasks reserve, and the capacity that is kept free for
-    # finite tasks by the priority that keeps most.
+    # What long-running tasks reserve, and what long-running jobs of the
+    # priority that keeps most leave free for finite tasks.
     lasting_cores: float
     kept_cores: float
     # The capacity kept free for expected long-running jobs.
