--- a/bench/round_cost.py
+++ b/bench/round_cost.py
@@ -55,7 +55,7 @@
 def long_running_job(rng: random.Random, number: int) -> messages.Job:
     """Return a job whose tasks serve requests until it is cancelled."""
     cpu = int(min(10_000, max(2000, rng.gauss(6400, 1600))))
-    return fleetfakes.job(f"lasting{number}", messages.Step(
+    return fleetfakes.job(f"long-running{number}", messages.Step(
         max(1, int(rng.gauss(14, 5))), messages.Resources(cpu, 13_000),
         perpetual=True, target_ms=125.0, image=f"s{number % 10}"))
 
@@ -63,7 +63,7 @@
 def finite_job(rng: random.Random, number: int) -> messages.Job:
     """Return a high-priority job of some small tasks."""
     cpu = int(min(12_000, max(1000, rng.gauss(4100, 1800))))
-    return fleetfakes.job(f"short{number}", messages.Step(
+    return fleetfakes.job(f"finite{number}", messages.Step(
         max(1, int(rng.lognormvariate(2, 0.8))), messages.Resources(cpu, 8200),
         estimate_ms=640))
 
@@ -72,7 +72,7 @@
     """Return a low-priority job that runs on unused CPU."""
     step = messages.Step(20, messages.Resources(3500, 6400), fills=True,
                          image=f"f{number % 18}", estimate_ms=2200)
-    return fleetfakes.job(f"filling{number}", step, priority=2,
+    return fleetfakes.job(f"best-effort{number}", step, priority=2,
                           queue="renewals")
 
 
--- a/tests/test_fleet_usage.py
+++ b/tests/test_fleet_usage.py
@@ -101,14 +101,15 @@
     assert found.lasting_down_s == 0.0
 
 
-@pytest.mark.parametrize(("silent", "unheard", "expected"), [
+@pytest.mark.parametrize(("unresponsive_ids", "awaited_ids", "expected"), [
     ((), (), (3, 0, 0)), (("i-0",), (), (3, 1, 0)),
     (("i-0", "i-2"), ("i-1", "i-8"), (3, 2, 2))],
     ids=["all-respond", "one-unresponsive", "not-heard-from"])
-def test_usage_counts_unresponsive_workers(silent, unheard, expected):
+def test_usage_counts_unresponsive_workers(
+        unresponsive_ids, awaited_ids, expected):
     fleet = make_fleet(3)
-    fleet.expect(unheard, 1e9)
-    for worker_id in silent:
+    fleet.expect(awaited_ids, 1e9)
+    for worker_id in unresponsive_ids:
         fleet.worker_silent(worker_id, "no answer")
     found = usage.measure(fleet, 100.0)
     assert (found.workers, found.workers_silent,
