--- a/sycamorefield/fleet/answers.py
+++ b/sycamorefield/fleet/answers.py
@@ -1,10 +1,10 @@
 """Apply the outcomes of orders sent to workers."""
 
 from sycamorefield import events
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import progress
 from sycamorefield.fleet import state as state_mod
-from sycamorefield.fleet import surroundings
 
 # How long a worker that rejected a start gets no other, in seconds, by the
 # reason it gave.
@@ -35,7 +35,7 @@
             return True
         worker.release((order.task, order.run), task.step)
         if fleet.is_current(worker, task, order.run):
-            task.idle()
+            task.reset_run()
         fleet.request_round()
         return False
 
@@ -51,13 +51,13 @@
         worker, task = found
         worker.sync_clock(clock_ms, now)
         worker.mark_start_sent((order.task, order.run))
-        task.begun = True
+        task.start_confirmed = True
         if fleet.is_current(worker, task, order.run):
-            task.moved_at = now
+            task.confirmed_at = now
             if task.phase == progress.STARTING:
                 worker.record_change()
                 task.phase = progress.RUNNING
-                task.started = now
+                task.started_at = now
 
 
 def record_rejected(fleet: state_mod.FleetState, worker_id: str,
@@ -72,19 +72,19 @@
             return
         worker, task = found
         worker.release((order.task, order.run), task.step)
-        if reason == surroundings.NO_ROOM:
+        if reason == interfaces.NO_CAPACITY:
             worker.avoid_until = now + NO_CAPACITY_PAUSE_S
-        elif reason == surroundings.NO_TICKET:
+        elif reason == interfaces.INVALID_TICKET:
             fleet.advice.drop(task.task.step_id(), worker_id)
-        elif reason == surroundings.UNHEALTHY:
+        elif reason == interfaces.UNHEALTHY:
             worker.avoid_until = now + UNHEALTHY_PAUSE_S
-        elif reason == surroundings.OLD_RUN:
+        elif reason == interfaces.STALE_RUN:
             task.last_run = max(task.last_run,
-                                order.run) + progress.RUN_GAP
+                                order.run) + progress.RUNS_PER_TERM
         else:
             task.not_before = now + UNHEALTHY_PAUSE_S
         if fleet.is_current(worker, task, order.run):
-            task.idle()
+            task.reset_run()
         fleet.request_round()
 
 
@@ -113,4 +113,4 @@
     with fleet.lock:
         found = fleet.find_worker_and_task(worker_id, order.task)
         if found is not None and fleet.is_current(*found, order.run):
-            found[1].moved_at = now
+            found[1].confirmed_at = now
--- a/sycamorefield/fleet/inbox.py
+++ b/sycamorefield/fleet/inbox.py
@@ -3,11 +3,11 @@
 import threading
 
 from sycamorefield import events
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import progress
 from sycamorefield.fleet import records
 from sycamorefield.fleet import state as state_mod
-from sycamorefield.fleet import surroundings
 
 WATCH_MS = 2000
 RETRY_PAUSE_S = 0.1
@@ -16,7 +16,7 @@
 class Inbox:
     """Take up what is stored under the jobs' keys until told it is over."""
 
-    def __init__(self, store: surroundings.Store,
+    def __init__(self, store: interfaces.Store,
                  fleet: state_mod.FleetState, over: threading.Event) -> None:
         self.store = store
         self.fleet = fleet
@@ -43,9 +43,9 @@
                 self._take_job(change.item)
                 self.take_cancel(change.key)
             return max([after] + [c.revision for c in found.changes])
-        except surroundings.HistoryGone:
+        except interfaces.HistoryCompacted:
             return self._reread(after)
-        except surroundings.CallFailed as exc:
+        except interfaces.CallFailed as exc:
             events.emit(events.STORE_LOST, reason=f"inbox: {exc}")
             self.over.wait(RETRY_PAUSE_S)
             return self._reread(after)
@@ -54,7 +54,7 @@
         """Read all jobs again: a watch that was cut may have gone deaf."""
         try:
             listing = self.store.listing(records.JOB_PREFIX)
-        except surroundings.CallFailed as exc:
+        except interfaces.CallFailed as exc:
             events.emit(events.STORE_LOST, reason=f"inbox: {exc}")
             self.over.wait(RETRY_PAUSE_S)
             return after
@@ -69,7 +69,7 @@
         job = self.add_job(item)
         if job is not None:
             events.emit(events.JOB_SEEN, job=job.job_id, queue=job.queue,
-                        revision=item.created)
+                        revision=item.created_revision)
 
     def add_job(self, item: messages.Item) -> messages.Job | None:
         """Take up a stored job; return it if it is new."""
@@ -82,7 +82,7 @@
                         reason=str(exc))
             return None
         known = job.job_id in self.fleet.jobs
-        self.fleet.add_job(job, item.created)
+        self.fleet.add_job(job, item.created_revision)
         return None if known else job
 
     def take_cancel(self, key: str) -> None:
--- /dev/null
+++ b/sycamorefield/fleet/interfaces.py
@@ -0,0 +1,156 @@
+"""Interfaces of the store, the workers and other external services."""
+
+import abc
+
+from sycamorefield.fleet import messages
+
+
+class CallFailed(Exception):
+    """A call got no answer; it may have been carried out."""
+
+
+class CallRefused(CallFailed):
+    """A call was refused; it had no effect."""
+
+
+class ConnectionRefused(CallRefused):
+    """The address refuses connections: its process has ended.
+
+    A process that is cut off or has lost power does not answer at all.
+    """
+
+
+class ConnectionClosed(CallFailed):
+    """The connection was closed before an answer arrived."""
+
+
+class Conflict(Exception):
+    """A condition of a transaction does not hold.
+
+    items holds the current items under the keys of the conditions.
+    """
+
+    def __init__(self, items: tuple[messages.Item, ...]) -> None:
+        super().__init__("precondition failed")
+        self.items = items
+
+    def item_for(self, key: str) -> messages.Item | None:
+        """Return the current item under a key, or None."""
+        return next((item for item in self.items if item.key == key), None)
+
+
+class LeaseEnded(Exception):
+    """The lease has expired or was revoked."""
+
+
+class HistoryCompacted(Exception):
+    """The store no longer keeps the changes since a revision."""
+
+
+class OrderRejected(Exception):
+    """A worker rejected an order; reason says why."""
+
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason)
+        self.reason = reason
+
+
+# Values of OrderRejected.reason.
+FENCED = "fence"
+STALE_RUN = "old"
+LEASE_EXPIRED = "late"
+NO_CAPACITY = "room"
+INVALID_TICKET = "ticket"
+UNHEALTHY = "unhealthy"
+MALFORMED = "malformed"
+
+
+class IncarnationMismatch(Exception):
+    """Another incarnation of the worker answered."""
+
+
+class Store(abc.ABC):
+    """A durable key-value store with leases and watches."""
+
+    @abc.abstractmethod
+    def get(self, key: str) -> messages.Item | None:
+        """Return the item under a key, or None; raises CallFailed."""
+
+    @abc.abstractmethod
+    def listing(self, prefix: str) -> messages.Listing:
+        """Return all items under a prefix; raises CallFailed."""
+
+    @abc.abstractmethod
+    def watch(self, prefix: str, after: int,
+              wait_ms: int) -> messages.Changes:
+        """Wait up to wait_ms for changes after a revision.
+
+        Raises HistoryCompacted or CallFailed.
+        """
+
+    @abc.abstractmethod
+    def commit(self, transaction: messages.Transaction) -> int:
+        """Commit a transaction and return its revision.
+
+        Raises Conflict, LeaseEnded, CallRefused (not applied) or CallFailed
+        (may have been applied, or may still be).
+        """
+
+    @abc.abstractmethod
+    def grant(self, ttl_ms: int) -> int:
+        """Return the ID of a new lease; raises CallFailed."""
+
+    @abc.abstractmethod
+    def renew(self, lease: int) -> None:
+        """Renew a lease; raises LeaseEnded or CallFailed."""
+
+
+class Worker(abc.ABC):
+    """A client of one incarnation of a worker.
+
+    Every call may raise OrderRejected, IncarnationMismatch, CallRefused (no
+    effect) or CallFailed (may have been carried out, or may still be).
+    Times are in milliseconds on the worker's clock.
+    """
+
+    @abc.abstractmethod
+    def renew(self, fence: int, recorded_upto: int, lease_end_ms: float | None,
+              wait_ms: int) -> messages.WorkerReport:
+        """Extend the leases of all runs and return a report.
+
+        Wait up to wait_ms for a run to end.  The worker forgets the ends
+        numbered up to recorded_upto, which are stored.
+        """
+
+    @abc.abstractmethod
+    def start(self, order: messages.StartOrder, fence: int,
+              lease_end_ms: float) -> float:
+        """Start a run and return the worker's time."""
+
+    @abc.abstractmethod
+    def stop(self, order: messages.StopOrder, fence: int) -> float:
+        """Stop a run and return the worker's time."""
+
+    @abc.abstractmethod
+    def pace(self, order: messages.PaceOrder, fence: int) -> float:
+        """Limit the speed of a run and return the worker's time."""
+
+
+class AdviceService(abc.ABC):
+    """Decides which workers a queue's policy lets a step run on."""
+
+    @abc.abstractmethod
+    def advise(self, step: str, workers: tuple[str, ...],
+               policy: messages.AdvicePolicy) -> messages.Advice:
+        """Return a ticket for each worker that may run a step.
+
+        Raises CallRefused or CallFailed.
+        """
+
+
+class WorkerList(abc.ABC):
+    """Lists the workers that are believed to be alive."""
+
+    @abc.abstractmethod
+    def workers(self) -> tuple[messages.WorkerEntry, ...]:
+        """Return all readable entries; raises CallFailed."""
--- a/sycamorefield/fleet/link.py
+++ b/sycamorefield/fleet/link.py
@@ -13,10 +13,10 @@
 from sycamorefield.fleet import answers
 from sycamorefield.fleet import clock
 from sycamorefield.fleet import crashes
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import reports
 from sycamorefield.fleet import state as state_mod
-from sycamorefield.fleet import surroundings
 from sycamorefield.fleet import usage
 from sycamorefield.fleet import workerstate
 from sycamorefield import metrics
@@ -83,7 +83,7 @@
     """
 
     def __init__(self, entry: messages.WorkerEntry,
-                 worker: surroundings.Worker, fleet: state_mod.FleetState,
+                 worker: interfaces.Worker, fleet: state_mod.FleetState,
                  may_act: Permission, may_lease: Permission,
                  step_down: typing.Callable[[str], None]) -> None:
         self.worker_id = entry.worker_id
@@ -175,19 +175,19 @@
                 report = self.worker.renew(
                     self.fleet.fence, self.recorded_upto, self._lease_end_ms(),
                     self._report_wait_ms())
-            except surroundings.OtherIncarnation:
+            except interfaces.IncarnationMismatch:
                 crashes.worker_reborn(self.fleet, self.worker_id)
                 return
-            except surroundings.OrderRejected as exc:
+            except interfaces.OrderRejected as exc:
                 if self._check_fenced(exc):
                     return
                 self._handle_failure(exc)
                 continue
-            except surroundings.NobodyListens as exc:
+            except interfaces.ConnectionRefused as exc:
                 if self._handle_refusal(exc):
                     return
                 continue
-            except surroundings.CallFailed as exc:
+            except interfaces.CallFailed as exc:
                 self._handle_failure(exc)
                 continue
             if self.closed:
@@ -200,7 +200,7 @@
             if new_ends or report.ended:
                 self.recorded.wait(RECORD_WAIT_S)
 
-    def _handle_refusal(self, exc: surroundings.NobodyListens) -> bool:
+    def _handle_refusal(self, exc: interfaces.ConnectionRefused) -> bool:
         """Handle a refused connection; return whether the worker has ended.
 
         If so, its tasks run elsewhere within half a second instead of some
@@ -214,12 +214,12 @@
         self._handle_failure(exc)
         return False
 
-    def _check_fenced(self, exc: surroundings.OrderRejected) -> bool:
+    def _check_fenced(self, exc: interfaces.OrderRejected) -> bool:
         """Step down if a rejection shows that there is a successor.
 
         Return whether it does.
         """
-        if exc.reason != surroundings.FENCED:
+        if exc.reason != interfaces.FENCED:
             return False
         self.step_down(f"fenced by worker {self.worker_id}")
         return True
@@ -227,7 +227,7 @@
     def _handle_failure(self, exc: Exception) -> None:
         self.fleet.mark_unresponsive(
             self.worker_id, str(exc),
-            isinstance(exc, surroundings.ConnectionClosed))
+            isinstance(exc, interfaces.ConnectionClosed))
         threading.Event().wait(RETRY_DELAY_S)
 
     def _send_orders(self) -> None:
@@ -237,7 +237,7 @@
                 return
             try:
                 self._send(order)
-            except surroundings.OtherIncarnation:
+            except interfaces.IncarnationMismatch:
                 crashes.worker_reborn(self.fleet, self.worker_id)
                 return
 
@@ -271,12 +271,12 @@
                 answers.record_started(self.fleet, self.worker_id, order,
                                        clock_ms, clock.now())
                 return
-            except surroundings.OrderRejected as exc:
+            except interfaces.OrderRejected as exc:
                 if not self._check_fenced(exc):
                     self._handle_rejection(order, exc.reason, attempt)
                 return
-            except surroundings.CallFailed as exc:
-                refused &= isinstance(exc, surroundings.NobodyListens)
+            except interfaces.CallFailed as exc:
+                refused &= isinstance(exc, interfaces.ConnectionRefused)
                 events.emit(events.RUN_UNCERTAIN, task=str(order.task),
                             run=order.run, worker=self.worker_id,
                             reason=str(exc))
@@ -304,11 +304,11 @@
             self.worker.stop(order, self.fleet.fence)
             answers.record_stopped(
                 self.fleet, self.worker_id, order, clock.now())
-        except surroundings.OrderRejected as exc:
+        except interfaces.OrderRejected as exc:
             if not self._check_fenced(exc):
                 self._handle_failure(exc)
                 self.orders.requeue(order)
-        except surroundings.CallFailed as exc:
+        except interfaces.CallFailed as exc:
             self._handle_failure(exc)
             self.orders.requeue(order)
 
@@ -317,9 +317,9 @@
             return
         try:
             self.worker.pace(order, self.fleet.fence)
-        except surroundings.OrderRejected as exc:
+        except interfaces.OrderRejected as exc:
             self._check_fenced(exc)
-        except surroundings.CallFailed:
+        except interfaces.CallFailed:
             # The next report shows whether the tail latency fell; the pace is
             # sent again with its next change.
             events.emit(events.RUN_UNCERTAIN, task=str(order.task),
--- a/sycamorefield/fleet/progress.py
+++ b/sycamorefield/fleet/progress.py
@@ -1,4 +1,4 @@
-"""Hold how far a job's tasks have come, in memory and as stored."""
+"""Progress of jobs and their tasks, in memory and as stored."""
 
 import dataclasses
 import json
@@ -12,22 +12,26 @@
 RUNNING = "running"
 STOPPING = "stopping"
 
-# A new owner may not know of runs that its predecessors ordered.  Runs of jobs
-# that it took over are numbered from its fence times this: above those of
-# every earlier term, whose fences are lower.
-RUN_GAP = 1000
+# A new owner may not know of runs that earlier owners ordered.  It numbers the
+# runs of jobs that it takes over from its fence times this, which is above the
+# run numbers of all earlier owners, because their fences are lower.
+RUNS_PER_TERM = 1000
 
-Place = tuple[int, int]
+StepIndex = tuple[int, int]
 
 
 class TaskState:
-    """Follow one task: where it runs, what ended, what to resume from."""
+    """State of a task: its current run, past runs and saved state.
+
+    Times are in seconds on clock.now(), 0 if not known.
+    """
 
     __slots__ = ("task", "step", "done", "failed_runs", "last_run", "saved",
-                 "phase", "run", "worker_id", "not_before", "avoid",
-                 "started", "percent", "moved_at", "pace", "slowed_at",
-                 "stop_sent", "stuck", "ran", "begun", "job",
-                 "projected_s", "earlier_s", "suspicion")
+                 "phase", "run", "worker_id", "not_before", "avoided_workers",
+                 "started_at", "percent", "confirmed_at", "pace_percent",
+                 "slowed_at", "stop_sent_at", "stuck", "has_run",
+                 "start_confirmed", "job", "projected_run_s",
+                 "previous_run_s", "suspicion")
 
     def __init__(self, task: messages.TaskId, step: messages.Step,
                  job: "JobState | None" = None) -> None:
@@ -36,145 +40,159 @@
         self.job = job
         self.done = False
         self.failed_runs: set[int] = set()
+        # Highest run number known.
         self.last_run = 0
         self.saved = ""
         self.phase = IDLE
         self.run = 0
         self.worker_id = ""
         self.not_before = 0.0
-        self.avoid: set[str] = set()
-        self.started = 0.0
+        self.avoided_workers: set[str] = set()
+        self.started_at = 0.0
         self.percent = 0
-        self.moved_at = 0.0
-        self.pace = 100
+        # When the worker confirmed the start or the stop of the run.
+        self.confirmed_at = 0.0
+        self.pace_percent = 100
         self.slowed_at = 0.0
-        self.stop_sent = 0.0
+        self.stop_sent_at = 0.0
         self.stuck = False
-        # Whether a lasting task was ever started.
-        self.ran = False
-        # Whether a worker is known to have begun a run of it.
-        self.begun = False
-        # Seconds that the current run takes from start to end by its progress
-        # so far, and that the run before took or would have; 0 if not known.
-        self.projected_s = 0.0
-        self.earlier_s = 0.0
-        # What crashes of workers under it tell, if there were any.
+        # Whether a long-running task was ever started.
+        self.has_run = False
+        # Whether a worker has confirmed that it began a run of the task.
+        self.start_confirmed = False
+        # Duration of the current run, extrapolated from its progress so far,
+        # and the actual or extrapolated duration of the previous run; 0 if
+        # unknown.
+        self.projected_run_s = 0.0
+        self.previous_run_s = 0.0
+        # Crashes of workers that may have been caused by the task, if any.
         self.suspicion: suspicion.Suspicion | None = None
 
     def needs_trial(self) -> bool:
-        """Tell whether its next run must show if it crashes its worker."""
+        """Return whether the next run must be a quarantine run."""
         return self.suspicion is not None and self.suspicion.needs_trial()
 
-    def advance(self, percent: int, now: float) -> None:
-        """Note how far the current run has come."""
+    def update_progress(self, percent: int, now: float) -> None:
+        """Record the progress of the current run."""
         self.percent = percent
-        if percent and self.started:
-            self.projected_s = (now - self.started) * 100.0 / percent
+        if percent and self.started_at:
+            self.projected_run_s = (now - self.started_at) * 100.0 / percent
 
-    def idle(self) -> None:
-        """Forget the current run; the task may be started again."""
+    def reset_run(self) -> None:
+        """Forget the current run, so that the task may be started again."""
         self.phase = IDLE
         self.run = 0
         self.worker_id = ""
         self.percent = 0
-        self.pace = 100
+        self.pace_percent = 100
         self.stuck = False
-        self.earlier_s = self.projected_s or self.earlier_s
-        self.projected_s = 0.0
+        self.previous_run_s = self.projected_run_s or self.previous_run_s
+        self.projected_run_s = 0.0
         if self.job is not None:
-            self.job.quiet = False
+            self.job.skip_rounds = False
 
-    def finish(self) -> None:
-        """Note that a run has ended as done."""
+    def mark_done(self) -> None:
+        """Record that a run of the task has succeeded."""
         self.done = True
         self.saved = ""
         if self.job is not None:
             self.job.done_tasks += 1
-            # The next step may be ready now.
-            self.job.quiet = False
+            # Steps that depend on this one may be ready now.
+            self.job.skip_rounds = False
 
 
 class JobState:
-    """Follow one job: its tasks by occurrence, and what is stored of it."""
+    """State of a job: its tasks, and which of its state is stored.
 
-    def __init__(self, job: messages.Job, created: int) -> None:
+    Times are in seconds on clock.now().  created_revision is the store's
+    revision at which the job was created, and state_revision that of its
+    stored progress (0: none).
+    """
+
+    def __init__(self, job: messages.Job, created_revision: int) -> None:
         self.job = job
-        self.created = created
+        self.created_revision = created_revision
         self.state_revision = 0
         self.cancelled = False
         self.state = messages.PENDING
-        # Why it failed, for its caller.
+        # Why the job failed, shown to its caller.
         self.reason = ""
-        # The workers set aside for suspected tasks of it, and as stored.
-        self.on_trial: dict[messages.TaskId, str] = {}
-        self.stored_trials: dict[messages.TaskId, str] = {}
+        # Workers reserved for quarantine runs of suspected tasks of the job,
+        # and those of them that are stored.
+        self.quarantine_workers: dict[messages.TaskId, str] = {}
+        self.stored_quarantine_workers: dict[messages.TaskId, str] = {}
+        # Whether the progress has changed since it was last written.
         self.dirty = False
-        self.tasks: dict[Place, list[TaskState]] = {}
-        # Steps seen to be done; that stays, and every round asks for it.
-        self.done_places: set[Place] = set()
+        self.tasks: dict[StepIndex, list[TaskState]] = {}
+        # Cache of completed steps: a completed step stays so, and every round
+        # checks it.
+        self.done_steps: set[StepIndex] = set()
+        # Runs of the job are numbered above this.
         self.run_base = 0
-        # When this process learnt that the job is stored.
+        # When this process learned that the job is stored.
         self.known_at = 0.0
-        # When a round first found a step whose turn had come, or 0.
-        self.seen_at = 0.0
-        # Since when a lasting task that ran is down, or 0.
+        # When a round first found a step that was due, or 0.
+        self.first_ready_at = 0.0
+        # Since when a long-running task that has run is down, or 0.
         self.down_since = 0.0
-        # How many tasks have ended as done, and how many had when the chain
-        # left was worked out last.
+        # How many tasks have succeeded, and how many had when
+        # cached_remaining_ms was computed.
         self.done_tasks = 0
-        self.chain_left_of = -1
-        self.chain_left = 0.0
-        # Whether rounds may pass over it: nothing of it waits for a worker.
-        self.quiet = False
-        self.lasting = any(step.perpetual for step in job.steps)
-        # The estimated longest chain of all steps; asked for in each round.
-        self.chain_ms = self._longest_chain([step.estimate_ms
-                                             for step in job.steps])
-
-    def chain_left_ms(self) -> float:
-        """Return the estimated longest chain of steps not done yet."""
-        if self.done_tasks != self.chain_left_of:
-            self.chain_left_of = self.done_tasks
-            self.chain_left = self._longest_chain([
-                0.0 if all(self.step_done(k, number)
-                           for k in range(self.job.occurrences()))
+        self.cached_done_tasks = -1
+        self.cached_remaining_ms = 0.0
+        # Whether placement rounds may skip the job, as no task waits for a
+        # worker.
+        self.skip_rounds = False
+        self.long_running = any(step.perpetual for step in job.steps)
+        # The estimated critical path of all steps, cached for every round.
+        self.critical_path_ms = self._longest_path_ms([step.estimate_ms
+                                                       for step in job.steps])
+
+    def remaining_critical_path_ms(self) -> float:
+        """Return the estimated critical path of steps not completed yet."""
+        if self.done_tasks != self.cached_done_tasks:
+            self.cached_done_tasks = self.done_tasks
+            self.cached_remaining_ms = self._longest_path_ms([
+                0.0 if all(self.step_done(occurrence, index)
+                           for occurrence in range(self.job.occurrences()))
                 else step.estimate_ms
-                for number, step in enumerate(self.job.steps)])
-        return self.chain_left
+                for index, step in enumerate(self.job.steps)])
+        return self.cached_remaining_ms
 
-    def _longest_chain(self, durations_ms: typing.Sequence[float]) -> float:
-        ends: list[float] = []
+    def _longest_path_ms(self, durations_ms: typing.Sequence[float]) -> float:
+        finish_ms: list[float] = []
         for step, duration_ms in zip(self.job.steps, durations_ms):
-            begin = max((ends[earlier] for earlier in step.after),
-                        default=0.0)
-            ends.append(begin + duration_ms)
-        return max(ends)
+            start_ms = max((finish_ms[earlier] for earlier in step.after),
+                           default=0.0)
+            finish_ms.append(start_ms + duration_ms)
+        return max(finish_ms)
 
-    def occurrence(self, number: int) -> None:
-        """Create the tasks of an occurrence unless they are there."""
+    def create_tasks(self, occurrence: int) -> None:
+        """Create the tasks of an occurrence unless they exist."""
         for index, step in enumerate(self.job.steps):
-            if (number, index) in self.tasks:
+            if (occurrence, index) in self.tasks:
                 continue
-            self.tasks[number, index] = [
-                TaskState(messages.TaskId(self.job.job_id, number, index, i),
-                          step, self) for i in range(step.count)]
+            self.tasks[occurrence, index] = [
+                TaskState(messages.TaskId(
+                    self.job.job_id, occurrence, index, number), step, self)
+                for number in range(step.count)]
 
     def find(self, task: messages.TaskId) -> TaskState | None:
-        """Return a task's state, or None if the job has no such task."""
+        """Return the state of a task, or None if the job has no such task."""
         if not (0 <= task.step < len(self.job.steps)
                 and 0 <= task.occurrence < self.job.occurrences()):
             return None
-        self.occurrence(task.occurrence)
+        self.create_tasks(task.occurrence)
         states = self.tasks[task.occurrence, task.step]
         return states[task.number] if 0 <= task.number < len(states) else None
 
-    def down_for(self, now: float) -> float:
-        """Return for how many seconds a lasting task that ran is down.
+    def downtime_s(self, now: float) -> float:
+        """Return how long a long-running task that has run has been down.
 
-        An order alone ends nothing: its start may be rejected or taken back,
-        and the time must not begin anew then.
+        A start order alone does not end the downtime: the start may be
+        rejected or withdrawn, and the downtime must not restart from 0 then.
         """
-        down = any(task.phase in (IDLE, STARTING) and task.ran
+        down = any(task.phase in (IDLE, STARTING) and task.has_run
                    for task in self.all_tasks())
         if not down:
             self.down_since = 0.0
@@ -188,61 +206,61 @@
             yield from states
 
     def step_done(self, occurrence: int, step: int) -> bool:
-        """Tell whether all tasks of a step have ended as done."""
-        place = (occurrence, step)
-        if place in self.done_places:
+        """Return whether all tasks of a step have succeeded."""
+        step_index = (occurrence, step)
+        if step_index in self.done_steps:
             return True
-        states = self.tasks.get(place)
+        states = self.tasks.get(step_index)
         done = states is not None and all(t.done for t in states)
         if done:
-            self.done_places.add(place)
+            self.done_steps.add(step_index)
         return done
 
     def step_ready(self, occurrence: int, step: int) -> bool:
-        """Tell whether the steps that a step waits for are done."""
+        """Return whether all dependencies of a step are completed."""
         return all(self.step_done(occurrence, earlier)
                    for earlier in self.job.steps[step].after)
 
     def final(self) -> bool:
-        """Tell whether nothing of the job will be started any more."""
+        """Return whether no task of the job will be started any more."""
         return self.state in messages.FINAL_STATES
 
-    def note_ran(self, task: TaskState) -> None:
-        """Note that a task runs or ran; successors must know of lasting ones.
+    def mark_has_run(self, task: TaskState) -> None:
+        """Record for later owners that a long-running task has run.
 
-        A lasting task that is down goes before all others, and one that never
-        ran waits while room is kept for short work.
+        A long-running task that is down is placed before all others, but one
+        that never ran waits while capacity is reserved for finite tasks.
         """
-        if task.step.perpetual and not task.ran:
-            task.ran = self.dirty = True
+        if task.step.perpetual and not task.has_run:
+            task.has_run = self.dirty = True
 
-    def next_run(self, state: TaskState) -> int:
-        """Return a run number above every one the task may have had."""
+    def next_run_number(self, state: TaskState) -> int:
+        """Return a run number higher than any the task may have had."""
         return max(state.last_run, self.run_base) + 1
 
     def settle(self) -> bool:
-        """Move to a final state if the tasks say so; tell if it changed."""
+        """Enter a final state if the tasks require it; return whether so."""
         if self.final():
             return False
         if self.cancelled:
             self.state = messages.CANCELLED
-        elif reason := self._failure():
+        elif reason := self._failure_reason():
             self.state = messages.JOB_FAILED
             self.reason = reason
-        elif self._complete():
+        elif self._all_done():
             self.state = messages.COMPLETED
         else:
             return False
         self.dirty = True
         return True
 
-    def _complete(self) -> bool:
-        return all(self.step_done(k, s)
-                   for k in range(self.job.occurrences())
-                   for s in range(len(self.job.steps)))
+    def _all_done(self) -> bool:
+        return all(self.step_done(occurrence, step)
+                   for occurrence in range(self.job.occurrences())
+                   for step in range(len(self.job.steps)))
 
-    def _failure(self) -> str:
-        """Return why the job can't be done, or nothing."""
+    def _failure_reason(self) -> str:
+        """Return why the job has failed, or "" if it has not."""
         for task in self.all_tasks():
             if task.done:
                 continue
@@ -258,18 +276,18 @@
 
 
 def _short_name(task: messages.TaskId) -> str:
-    """Return the name of a task within its job."""
+    """Return the name of a task without its job ID."""
     return f"{task.occurrence}.{task.step}.{task.number}"
 
 
 def encode_job(job: messages.Job) -> bytes:
-    """Return a job as it is stored, without fields at their default."""
+    """Return the stored form of a job, without defaults of its steps."""
     row = dataclasses.asdict(job)
-    row["steps"] = [_lean(step) for step in job.steps]
+    row["steps"] = [_encode_step(step) for step in job.steps]
     return json.dumps(row, separators=(",", ":")).encode()
 
 
-def _lean(step: messages.Step) -> dict[str, typing.Any]:
+def _encode_step(step: messages.Step) -> dict[str, typing.Any]:
     row = {"room": [step.room.cpu, step.room.mem_mb, step.room.gpu]}
     for field in dataclasses.fields(step):
         value = getattr(step, field.name)
@@ -279,33 +297,36 @@
 
 
 def decode_job(value: bytes) -> messages.Job:
-    """Return a stored job; raises ValueError if it cannot be read."""
+    """Return a stored job; raises ValueError if it is unreadable."""
     try:
         row = json.loads(value)
         steps = []
         for step in row["steps"]:
-            step["room"] = messages.Room(*step["room"])
+            step["room"] = messages.Resources(*step["room"])
             step["after"] = tuple(step.get("after", ()))
             steps.append(messages.Step(**step))
         row["steps"] = tuple(steps)
         return messages.Job(**row)
     except (KeyError, TypeError, AttributeError) as exc:
-        raise ValueError(f"not a job record: {exc!r}") from exc
+        raise ValueError(f"invalid job record: {exc!r}") from exc
 
 
 def encode_progress(state: JobState) -> bytes:
-    """Return what must outlive the owner of a job's progress.
-
-    A final state stands alone, or with why the job failed.  Otherwise done
-    tasks are a bit mask a step, as are lasting tasks that ever ran, and other
-    tasks that ran have [last run, failed runs, saved].
+    """Return the stored form of a job's progress, for later owners.
+
+    A job in a final state has only its state and the reason of a failure.
+    Otherwise "done" and "ran" hold, for each step, a bit mask of the tasks
+    that succeeded and of the long-running tasks that have run.  "rest" holds
+    [last run, failed runs, saved] of unfinished tasks that failed or saved
+    something; "suspected" and "trials" hold what is known of tasks that are
+    suspected of crashing workers.
     """
     row: dict[str, typing.Any] = {"state": state.state}
     if state.reason:
         row["reason"] = state.reason
     if not state.final():
-        row["done"] = _masks(state, lambda task: task.done)
-        row["ran"] = _masks(state, lambda task: task.ran)
+        row["done"] = _encode_masks(state, lambda task: task.done)
+        row["ran"] = _encode_masks(state, lambda task: task.has_run)
         row["rest"] = {
             _short_name(t.task):
             [t.last_run, sorted(t.failed_runs), t.saved]
@@ -316,74 +337,77 @@
                      if not t.done and t.suspicion is not None}
         if suspected:
             row["suspected"] = suspected
-        if state.on_trial:
+        if state.quarantine_workers:
             row["trials"] = {_short_name(task): worker_id for task, worker_id
-                             in state.on_trial.items()}
+                             in state.quarantine_workers.items()}
     return json.dumps(row, separators=(",", ":")).encode()
 
 
-def _masks(state: JobState,
-           chosen: typing.Callable[[TaskState], bool]) -> dict[str, str]:
-    """Return, for each step, a bit mask of the tasks chosen."""
+def _encode_masks(state: JobState,
+                  predicate: typing.Callable[[TaskState], bool]
+                  ) -> dict[str, str]:
+    """Return, for each step, a bit mask of the tasks that match."""
     masks = {}
     for (occurrence, step), tasks in state.tasks.items():
-        mask = sum(1 << i for i, task in enumerate(tasks) if chosen(task))
+        mask = sum(1 << index for index, task in enumerate(tasks)
+                   if predicate(task))
         if mask:
             masks[f"{occurrence}.{step}"] = f"{mask:x}"
     return masks
 
 
-def _masked(state: JobState, masks: dict[str, str]
-            ) -> typing.Iterator[TaskState]:
-    """Yield the tasks that bit masks name."""
-    for place, mask in masks.items():
-        k, s = (int(part) for part in place.split("."))
-        state.occurrence(k)
-        for i, task in enumerate(state.tasks[k, s]):
-            if int(mask, 16) >> i & 1:
+def _decode_masks(state: JobState, masks: dict[str, str]
+                  ) -> typing.Iterator[TaskState]:
+    """Yield the tasks whose bits are set."""
+    for name, mask in masks.items():
+        occurrence, step = (int(part) for part in name.split("."))
+        state.create_tasks(occurrence)
+        for index, task in enumerate(state.tasks[occurrence, step]):
+            if int(mask, 16) >> index & 1:
                 yield task
 
 
 def apply_progress(state: JobState, value: bytes) -> None:
-    """Take over stored progress; raises ValueError if it is unreadable."""
+    """Load stored progress; raises ValueError if it is unreadable."""
     try:
         row = json.loads(value)
         state.state = row["state"]
         state.reason = row.get("reason", "")
-        for task in _masked(state, row.get("done", {})):
-            task.finish()
-        for task in _masked(state, row.get("ran", {})):
-            task.ran = True
+        for task in _decode_masks(state, row.get("done", {})):
+            task.mark_done()
+        for task in _decode_masks(state, row.get("ran", {})):
+            task.has_run = True
         for name, (run, failed, saved) in row.get("rest", {}).items():
-            found = _find(state, name)
+            found = _find_by_short_name(state, name)
             if found is not None:
                 found.last_run = run
                 found.failed_runs = set(failed)
                 found.saved = saved
         for name, suspected in row.get("suspected", {}).items():
-            found = _find(state, name)
+            found = _find_by_short_name(state, name)
             if found is not None:
                 found.suspicion = suspicion.decode(suspected)
         for name, worker_id in row.get("trials", {}).items():
-            found = _find(state, name)
+            found = _find_by_short_name(state, name)
             if found is not None:
-                state.on_trial[found.task] = worker_id
-        state.stored_trials = dict(state.on_trial)
+                state.quarantine_workers[found.task] = worker_id
+        state.stored_quarantine_workers = dict(state.quarantine_workers)
     except (KeyError, TypeError, AttributeError) as exc:
-        raise ValueError(f"not a progress record: {exc!r}") from exc
+        raise ValueError(f"invalid progress record: {exc!r}") from exc
 
 
-def _find(state: JobState, short_name: str) -> TaskState | None:
-    """Return the task that a name within a job means."""
-    k, s, i = (int(part) for part in short_name.split("."))
-    return state.find(messages.TaskId(state.job.job_id, k, s, i))
+def _find_by_short_name(state: JobState, short_name: str) -> TaskState | None:
+    """Return the task with a name as returned by _short_name."""
+    occurrence, step, number = (int(part) for part in short_name.split("."))
+    return state.find(messages.TaskId(
+        state.job.job_id, occurrence, step, number))
 
 
-def state_of(value: bytes) -> str:
-    """Return the state named in a stored progress record."""
+def decode_state(value: bytes) -> str:
+    """Return the job state in a stored progress record."""
     return str(json.loads(value)["state"])
 
 
-def reason_of(value: bytes) -> str:
-    """Return why a job failed, from a stored progress record."""
+def decode_failure_reason(value: bytes) -> str:
+    """Return why a job failed from a progress record, or ""."""
     return str(json.loads(value).get("reason", ""))
--- a/sycamorefield/fleet/reports.py
+++ b/sycamorefield/fleet/reports.py
@@ -78,15 +78,15 @@
         return
     job, task = found
     current = fleet.is_current(worker, task, ended.run)
-    started_at = task.started if current else 0.0
+    started_at = task.started_at if current else 0.0
     worker.release((ended.task, ended.run), task.step)
     task.last_run = max(task.last_run, ended.run)
-    task.begun = True
+    task.start_confirmed = True
     if current:
-        task.idle()
+        task.reset_run()
     if task.done or job.final():
         return
-    job.note_ran(task)
+    job.mark_has_run(task)
     if ended.how == messages.DONE:
         _record_success(fleet, job, task, worker, started_at, now)
     elif ended.how == messages.FAILED:
@@ -104,13 +104,13 @@
     if task.step.perpetual:
         return
     if started_at:
-        task.earlier_s = now - started_at
+        task.previous_run_s = now - started_at
     if demand.is_short(task.step) and started_at:
         fleet.demand.add_run(job.job.queue, now - started_at)
     step_index = (task.task.occurrence, task.task.step)
     members = job.tasks[step_index] if task.step.gang else [task]
     for member in members:
-        member.finish()
+        member.mark_done()
         if member is task and member.phase in (progress.STARTING,
                                                progress.RUNNING):
             fleet.stop_run(member, "done elsewhere")
@@ -120,7 +120,7 @@
 def _record_failure(fleet: state_mod.FleetState, job: progress.JobState,
                     task: progress.TaskState, worker: workerstate.WorkerState,
                     run: int, now: float) -> None:
-    task.avoid.add(worker.entry.worker_id)
+    task.avoided_workers.add(worker.entry.worker_id)
     if worker.record_failure(now):
         events.emit(events.WORKER_AVOIDED, failures=worker.failures,
                     worker=worker.entry.worker_id)
@@ -140,11 +140,11 @@
         return
     job, task = found
     task.last_run = max(task.last_run, row.run)
-    task.begun = True
+    task.start_confirmed = True
     worker.reserve((row.task, row.run), task.step, task)
     if fleet.is_current(worker, task, row.run):
         if row.percent != task.percent:
-            task.advance(row.percent, now)
+            task.update_progress(row.percent, now)
         if row.saved:
             task.saved = row.saved
         if not task.stuck and slowness.stuck(task, now):
@@ -153,7 +153,7 @@
         if task.phase == progress.STARTING:
             # The response to the start order comes later or was lost.
             task.phase = progress.RUNNING
-            task.moved_at = task.started = now
+            task.confirmed_at = task.started_at = now
         return
     if job.final() or task.done:
         _stop_unexpected(fleet, worker, row, "already ended", now, task)
@@ -166,7 +166,7 @@
 def _mark_stuck(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
                 task: progress.TaskState, now: float) -> None:
     """Avoid a worker for a stuck task, and for all if several are stuck."""
-    task.avoid.add(worker.entry.worker_id)
+    task.avoided_workers.add(worker.entry.worker_id)
     stuck = sum(1 for other in worker.tasks.values() if other.stuck)
     if stuck >= slowness.STUCK_TASKS and worker.avoid_until <= now:
         worker.avoid_until = now + workerstate.AVOID_S
@@ -177,25 +177,25 @@
 def _adopt(worker: workerstate.WorkerState, job: progress.JobState,
            task: progress.TaskState, row: messages.RunningTask,
            now: float) -> None:
-    job.note_ran(task)
+    job.mark_has_run(task)
     task.phase = progress.RUNNING
     task.run = row.run
     task.worker_id = worker.entry.worker_id
     task.saved = row.saved or task.saved
     task.percent = row.percent
-    task.started = task.moved_at = now
+    task.started_at = task.confirmed_at = now
     if task.step.fills:
-        task.pace = UNKNOWN_PACE
+        task.pace_percent = UNKNOWN_PACE
 
 
 def _stop_unexpected(fleet: state_mod.FleetState,
                      worker: workerstate.WorkerState,
                      row: messages.RunningTask, reason: str, now: float,
                      task: progress.TaskState | None) -> None:
-    if task is not None and now - task.stop_sent < STOP_RETRY_S:
+    if task is not None and now - task.stop_sent_at < STOP_RETRY_S:
         return
     if task is not None:
-        task.stop_sent = now
+        task.stop_sent_at = now
     events.emit(events.RUN_UNEXPECTED, task=str(row.task), run=row.run,
                 worker=worker.entry.worker_id, reason=reason)
     fleet.send(worker.entry.worker_id,
@@ -219,9 +219,9 @@
             continue
         if fleet.is_current(worker, task, run[1]):
             if (task.phase == progress.STARTING
-                    or not 0 < task.moved_at < sent_at):
+                    or not 0 < task.confirmed_at < sent_at):
                 continue
-            task.idle()
+            task.reset_run()
             events.emit(events.RUN_VANISHED, task=str(run[0]),
                         run=run[1], worker=worker.entry.worker_id)
         worker.release(run, task.step)
--- a/sycamorefield/fleet/state.py
+++ b/sycamorefield/fleet/state.py
@@ -108,16 +108,17 @@
 
     # Jobs
 
-    def add_job(self, job: messages.Job, created: int) -> progress.JobState:
+    def add_job(self, job: messages.Job,
+                created_revision: int) -> progress.JobState:
         """Add a stored job; do nothing if it is already known."""
         with self.lock:
             state = self.jobs.get(job.job_id)
             if state is not None:
                 return state
-            state = progress.JobState(job, created)
+            state = progress.JobState(job, created_revision)
             state.known_at = clock.now()
-            if created <= self.fence:
-                state.run_base = self.fence * progress.RUN_GAP
+            if created_revision <= self.fence:
+                state.run_base = self.fence * progress.RUNS_PER_TERM
             self.jobs[job.job_id] = state
             self.active[job.job_id] = state
             self.request_round()
@@ -134,7 +135,7 @@
         successor holds such jobs back until each worker in use has reported
         or its leases have expired.
         """
-        return (state.created <= self.fence
+        return (state.created_revision <= self.fence
                 or state.known_at <= self.owner_lease_until)
 
     def deactivate_job(self, state: progress.JobState) -> None:
@@ -197,7 +198,7 @@
         An order alone is no proof: it may still wait to be sent, or get no
         response.
         """
-        return any(t.done or t.begun or t.failed_runs or t.saved
+        return any(t.done or t.start_confirmed or t.failed_runs or t.saved
                    for t in state.all_tasks())
 
     # Workers
@@ -337,8 +338,8 @@
             draining=worker.entry.draining, lost=len(worker.reserved),
             silent_s=(round(now - worker.unresponsive_since, 3)
                       if worker.unresponsive else 0.0),
-            runs=runlog.lost_rows(((task, run) for (_, run), task
-                                   in worker.tasks.items()), now))
+            runs=runlog.lost_run_rows(((task, run) for (_, run), task
+                                       in worker.tasks.items()), now))
         if not worker.entry.draining:
             self.recent_failures.append(FailedWorker(
                 worker.entry.rack(),
@@ -347,7 +348,7 @@
         self.awaited_workers.pop(worker_id, None)
         for (_, run), task in worker.tasks.items():
             if task.worker_id == worker_id and task.run == run:
-                task.idle()
+                task.reset_run()
         worker.reserved.clear()
         self.round_needed = True
 
@@ -451,11 +452,11 @@
             return
         task.phase = progress.STARTING
         task.run = task.last_run = run
-        state.note_ran(task)
+        state.mark_has_run(task)
         task.worker_id = worker.entry.worker_id
-        task.started = task.moved_at = 0.0
+        task.started_at = task.confirmed_at = 0.0
         task.percent = 0
-        task.pace = 100
+        task.pace_percent = 100
         worker.reserve((task.task, run), task.step, task)
         worker.unsent_starts.add((task.task, run))
         if not worker.entry.capacity.holds(worker.used):
--- a/sycamorefield/fleet/workerstate.py
+++ b/sycamorefield/fleet/workerstate.py
@@ -65,11 +65,11 @@
         self.reported_at = 0.0
         # When the last call that it accepted was sent.
         self.acknowledged_at = 0.0
-        self.reserved: dict[RunId, messages.Room] = {}
-        self.used = messages.Room()
+        self.reserved: dict[RunId, messages.Resources] = {}
+        self.used = messages.Resources()
         # The capacity and use for which the free capacity was computed.
-        self.free_capacity_key = (messages.Room(), messages.Room())
-        self.cached_free_capacity = messages.Room()
+        self.free_capacity_key = (messages.Resources(), messages.Resources())
+        self.cached_free_capacity = messages.Resources()
         self.tasks: dict[RunId, progress.TaskState] = {}
         # Runs whose start order is queued and has not been sent.
         self.unsent_starts: set[RunId] = set()
@@ -198,7 +198,7 @@
             self.record_change()
         return held_back and self.accepts_starts()
 
-    def free_capacity(self) -> messages.Room:
+    def free_capacity(self) -> messages.Resources:
         """Return the capacity that no run reserves; stopping runs do.
 
         Placement rounds ask for it tens of thousands of times a second, so it
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -6,13 +6,13 @@
 import pytest
 
 from sycamorefield.fleet import clock
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import link as link_mod
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import owner as owner_mod
 from sycamorefield.fleet import progress
 from sycamorefield.fleet import rounds
 from sycamorefield.fleet import state as state_mod
-from sycamorefield.fleet import surroundings
 from sycamorefield.fleet import workerstate
 from tests import fleetfakes
 from tests import test_fleet_state
@@ -27,7 +27,7 @@
 
     def start(self, order, fence, lease_end_ms):
         self.on_start()
-        raise surroundings.CallFailed("no answer")
+        raise interfaces.CallFailed("no answer")
 
 
 @pytest.fixture(name="bench")
@@ -48,7 +48,7 @@
     def renew(self, fence, recorded_upto, lease_end_ms, wait_ms):
         self.refusals += 1
         assert self.refusals < 20, "called without end"
-        raise surroundings.NobodyListens("connection refused")
+        raise interfaces.ConnectionRefused("connection refused")
 
 
 def make_link(bench, worker):
@@ -94,7 +94,7 @@
     """A round may hold the lock for 1 s, in which the owner may step down."""
     worker = fleetfakes.MemoryWorker("i-0")
     owner = owner_mod.Owner(
-        fleetfakes.MemoryStore(), fleetfakes.MemoryRoster(()),
+        fleetfakes.MemoryStore(), fleetfakes.MemoryWorkerList(()),
         lambda entry: worker, fleetfakes.configuration, 5, 6000.0)
     checked = threading.Event()
 
@@ -159,7 +159,7 @@
     bench.place()
     worker = fleetfakes.MemoryWorker("i-0")
     link = make_link(bench, worker)
-    link._handle_refusal(surroundings.NobodyListens("connection refused"))
+    link._handle_refusal(interfaces.ConnectionRefused("connection refused"))
     assert "i-0" in bench.state.workers
 
 
@@ -184,7 +184,7 @@
     def stop(self, order, fence):
         if self.unanswered:
             self.unanswered -= 1
-            raise surroundings.CallFailed("no answer")
+            raise interfaces.CallFailed("no answer")
         return super().stop(order, fence)
 
 
@@ -225,9 +225,9 @@
     thread = threading.Thread(target=link._send_orders)
     thread.start()
     for _ in range(200):
-        if worker.paces:
+        if worker.pace_orders:
             break
         time.sleep(0.01)
     link.close()
     thread.join(5)
-    assert worker.paces
+    assert worker.pace_orders
--- a/tests/test_fleet_machine.py
+++ b/tests/test_fleet_machine.py
@@ -19,6 +19,7 @@
 from sycamorefield.fleet import answers
 from sycamorefield.fleet import clock
 from sycamorefield.fleet import crashes
+from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import operatorview
 from sycamorefield.fleet import owner as owner_mod
@@ -30,7 +31,6 @@
 from sycamorefield.fleet import reports
 from sycamorefield.fleet import rounds
 from sycamorefield.fleet import state as state_mod
-from sycamorefield.fleet import surroundings
 from sycamorefield.fleet import workerstate
 from tests import fleetfakes
 
@@ -57,12 +57,12 @@
 FATES = strategies.sampled_from(
     ["answered", "answered", "answer lost", "lost", "late"])
 STEPS = (
-    (messages.Step(2, messages.Room(2500, 10)),),
-    (messages.Step(3, messages.Room(1500, 10)),
-     messages.Step(1, messages.Room(3000, 10), after=(0,))),
-    (messages.Step(2, messages.Room(2000, 10), gang=True),),
-    (messages.Step(2, messages.Room(2000, 10), perpetual=True),),
-    (messages.Step(2, messages.Room(1000, 10), checkpoint=True),),
+    (messages.Step(2, messages.Resources(2500, 10)),),
+    (messages.Step(3, messages.Resources(1500, 10)),
+     messages.Step(1, messages.Resources(3000, 10), after=(0,))),
+    (messages.Step(2, messages.Resources(2000, 10), gang=True),),
+    (messages.Step(2, messages.Resources(2000, 10), perpetual=True),),
+    (messages.Step(2, messages.Resources(1000, 10), checkpoint=True),),
 )
 
 
@@ -82,7 +82,7 @@
 class Commit:
     """Hold a commit whose outcome isn't known, and the ends it stores."""
 
-    values: list[recorder_mod.Value]
+    values: list[recorder_mod.PendingWrite]
     marks: dict[str, int]
 
 
@@ -96,7 +96,7 @@
         self.rooms = [(-100.0, entry.capacity.cpu)]
         self.fence = 0
         self.lease_end_ms = 0.0
-        self.runs: dict[tuple[messages.TaskId, int], messages.Room] = {}
+        self.runs: dict[tuple[messages.TaskId, int], messages.Resources] = {}
         self.over: dict[messages.TaskId, int] = {}
         self.ended: list[messages.EndedTask] = []
         self.number = 0
@@ -231,7 +231,7 @@
             process.view.owner = self.store.items.get(records.OWNER_KEY)
             try:
                 fence = process._claim()
-            except surroundings.CallFailed:
+            except interfaces.CallFailed:
                 continue
         return fence
 
@@ -258,7 +258,8 @@
         self.recorder.stopped.set()
         for job in self.jobs:
             state = self._add_job(
-                job, self.store.items[records.job_key(job.job_id)].created)
+                job, self.store.items[
+                    records.job_key(job.job_id)].created_revision)
             self._read_progress(state)
         for item in self.store.listing(records.JOB_PREFIX).items:
             if item.key.endswith(records.CANCEL_SUFFIX):
@@ -266,8 +267,9 @@
                                            -len(records.CANCEL_SUFFIX)])
         self._expect_workers()
 
-    def _add_job(self, job: messages.Job, created: int) -> progress.JobState:
-        state = self.fleet.add_job(job, created)
+    def _add_job(self, job: messages.Job,
+                 created_revision: int) -> progress.JobState:
+        state = self.fleet.add_job(job, created_revision)
         state.known_at = self.now
         return state
 
@@ -289,11 +291,11 @@
 
     def _expect_workers(self) -> None:
         in_use: dict[str, str] = {}
-        item = self.store.items.get(records.FLEET_KEY)
+        item = self.store.items.get(records.WORKERS_KEY)
         if item is not None:
             in_use = records.decode_mapping(item.value)
-            self.recorder.revisions[records.FLEET_KEY] = item.revision
-            self.recorder.addresses = in_use
+            self.recorder.revisions[records.WORKERS_KEY] = item.revision
+            self.recorder.stored_addresses = in_use
         self.fleet.await_workers(in_use, self.now + recovery.WITHOUT_STORE_S
                                  + workerstate.LEASE_EXPIRY_S)
         self._read_list()
@@ -328,7 +330,7 @@
         if not worker.alive:
             return "gone"
         if sent.fence < worker.fence:
-            return surroundings.FENCED
+            return interfaces.FENCED
         worker.fence = sent.fence
         order = sent.order
         if isinstance(order, messages.PaceOrder):
@@ -349,9 +351,9 @@
         task, run = key
         if (run <= worker.over.get(task, 0)
                 or any(t == task for t, _ in worker.runs)):
-            return surroundings.OLD_RUN
+            return interfaces.STALE_RUN
         if sent.until_ms <= self.now * 1000.0:
-            return surroundings.LATE
+            return interfaces.LEASE_EXPIRED
         worker.lease_end_ms = max(worker.lease_end_ms, sent.until_ms)
         step = self._job(task).steps[task.step]
         worker.runs[key] = step.reserved()
@@ -405,10 +407,10 @@
 
     def _submit(self, job: messages.Job) -> None:
         self.jobs.append(job)
-        created = self._store_key(records.job_key(job.job_id),
-                                  progress.encode_job(job))
+        created_revision = self._store_key(records.job_key(job.job_id),
+                                           progress.encode_job(job))
         if self.acting:
-            self._add_job(job, created)
+            self._add_job(job, created_revision)
 
     @stateful.precondition(lambda self: self.jobs and not self.silent)
     @stateful.rule(data=strategies.data(), happens=SELDOM)
@@ -528,7 +530,7 @@
         with self._as_earlier():
             self._hear([worker], [])
 
-    @stateful.precondition(lambda self: self.store.late)
+    @stateful.precondition(lambda self: self.store.delayed)
     @stateful.rule()
     def late_commits_arrive(self) -> None:
         self.store.deliver_late()
@@ -608,7 +610,7 @@
             answers.stop_uncertain_run(self.fleet, sent.worker_id, order)
             return
         reason = self._carry_out(sent)
-        if reason == surroundings.FENCED:
+        if reason == interfaces.FENCED:
             self._step_down()
         elif fate == "answer lost" or reason == "gone":
             answers.stop_uncertain_run(self.fleet, sent.worker_id, order)
@@ -669,7 +671,7 @@
             outcome = self.recorder._commit(commit.values)
         if not self.acting:
             return
-        self.commit = (commit if outcome is recorder_mod.Outcome.DEPOSED
+        self.commit = (commit if outcome is recorder_mod.Outcome.OWNERSHIP_LOST
                        else None)
         if outcome is recorder_mod.Outcome.STORED:
             self._forget_ends(commit.marks)
@@ -677,8 +679,8 @@
     def _next_commit(self) -> Commit:
         marks = {worker_id: known.last_processed_end
                  for worker_id, known in self.fleet.workers.items()}
-        values = self.recorder._job_values()
-        self.recorder._fleet_value(values)
+        values = self.recorder._job_writes()
+        self.recorder._add_workers(values)
         return Commit(values, marks)
 
     def _forget_ends(self, marks: dict[str, int]) -> None:
@@ -771,7 +773,7 @@
 
     def _change_room(self, worker: SimulatedWorker, cpu: int) -> None:
         worker.entry = dataclasses.replace(
-            worker.entry, capacity=messages.Room(cpu, 16_000, 0))
+            worker.entry, capacity=messages.Resources(cpu, 16_000, 0))
         worker.rooms.append((self.now, cpu))
 
     @stateful.precondition(lambda self: self.acting and not self.silent)
--- a/tests/test_fleet_orders.py
+++ b/tests/test_fleet_orders.py
@@ -15,7 +15,7 @@
 from tests import fleetfakes
 from tests import test_fleet_state
 
-SMALL_TASKS = messages.Step(60, messages.Room(100, 10))
+SMALL_TASKS = messages.Step(60, messages.Resources(100, 10))
 
 
 def large_worker_bench(workers: int = 1) -> test_fleet_state.Bench:
@@ -60,7 +60,7 @@
     """A task that fits once queued orders are sent needs no preemption."""
     bench = large_worker_bench()
     bench.add(fleetfakes.job("low", messages.Step(
-        1, messages.Room(90_000, 10)), queue="renewals", priority=2))
+        1, messages.Resources(90_000, 10)), queue="renewals", priority=2))
     bench.place()
     bench.add(fleetfakes.job("urgent", SMALL_TASKS), 21)
     rounds.place(bench.state, bench.now, 0)
@@ -152,7 +152,7 @@
     monkeypatch.setattr(link_mod.WorkerLink, "start", lambda self: None)
     entries = tuple(fleetfakes.entry(n) for n in range(28))
     owner = owner_mod.Owner(
-        fleetfakes.MemoryStore(), fleetfakes.MemoryRoster(entries),
+        fleetfakes.MemoryStore(), fleetfakes.MemoryWorkerList(entries),
         lambda entry: fleetfakes.MemoryWorker(entry.worker_id),
         fleetfakes.configuration, 5, 6000.0)
     lock = owner.fleet.lock = CountingLock(owner.fleet.lock)
@@ -170,7 +170,7 @@
     """
     store = fleetfakes.MemoryStore()
     owner = owner_mod.Owner(
-        store, fleetfakes.MemoryRoster(()), lambda entry: None,
+        store, fleetfakes.MemoryWorkerList(()), lambda entry: None,
         fleetfakes.configuration, 5, 6000.0)
     placed = []
     monkeypatch.setattr(rounds, "place",
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -16,7 +16,7 @@
 from sycamorefield.fleet import workerstate
 from tests import fleetfakes
 
-TASK_RESOURCES = messages.Room(1000, 1000)
+TASK_RESOURCES = messages.Resources(1000, 1000)
 
 
 class Bench:
@@ -72,15 +72,15 @@
 
 
 @pytest.mark.parametrize(("step", "workers", "placed"), [
-    (messages.Step(3, messages.Room(2000, 10)), 1, 2),
-    (messages.Step(3, messages.Room(2000, 10)), 2, 3),
-    (messages.Step(3, messages.Room(10, 9000)), 2, 2),
-    (messages.Step(1, messages.Room(10, 10, 1)), 2, 0),
+    (messages.Step(3, messages.Resources(2000, 10)), 1, 2),
+    (messages.Step(3, messages.Resources(2000, 10)), 2, 3),
+    (messages.Step(3, messages.Resources(10, 9000)), 2, 2),
+    (messages.Step(1, messages.Resources(10, 10, 1)), 2, 0),
     (messages.Step(4, TASK_RESOURCES, max_per_worker=1), 2, 2),
     (messages.Step(1, TASK_RESOURCES, requires="b"), 2, 0),
     (messages.Step(1, TASK_RESOURCES, requires="a"), 2, 1),
-    (messages.Step(3, messages.Room(2000, 10), gang=True), 1, 0),
-    (messages.Step(3, messages.Room(2000, 10), gang=True), 2, 3),
+    (messages.Step(3, messages.Resources(2000, 10), gang=True), 1, 0),
+    (messages.Step(3, messages.Resources(2000, 10), gang=True), 2, 3),
 ], ids=["cpu", "cpu-two", "memory", "gpu", "per-worker", "label-missing",
         "label", "gang-none", "gang-all"])
 def test_no_worker_exceeds_its_capacity_or_placement_rules(step, workers,
@@ -98,11 +98,11 @@
     """
     bench = Bench(fleetfakes.entry(0))
     bench.add(fleetfakes.job("j", messages.Step(
-        1, messages.Room(4000, 10))))
+        1, messages.Resources(4000, 10))))
     assert bench.place() == ["j.0.0.0@i-0"]
     bench.state.cancel("j")
     bench.add(fleetfakes.job("k", messages.Step(
-        1, messages.Room(4000, 10))), 21)
+        1, messages.Resources(4000, 10))), 21)
     assert not bench.place()
     bench.end("i-0", "j.0.0.0", 1, "stopped")
     assert bench.place() == ["k.0.0.0@i-0"]
@@ -111,11 +111,11 @@
 def test_urgent_task_preempts_a_low_priority_one_that_resumes_later():
     bench = Bench(fleetfakes.entry(0))
     bench.add(fleetfakes.job("low", messages.Step(
-        2, messages.Room(2000, 10), checkpoint=True), queue="renewals",
+        2, messages.Resources(2000, 10), checkpoint=True), queue="renewals",
         priority=2))
     assert len(bench.place()) == 2
     bench.add(fleetfakes.job("urgent", messages.Step(
-        1, messages.Room(2000, 10))), 21)
+        1, messages.Resources(2000, 10))), 21)
     bench.place()
     assert len(bench.stops()) == 1
     bench.place()
@@ -372,8 +372,8 @@
 
 
 @pytest.mark.parametrize("step", [
-    messages.Step(1, messages.Room(3000, 10)),
-    messages.Step(2, messages.Room(3000, 10), gang=True)],
+    messages.Step(1, messages.Resources(3000, 10)),
+    messages.Step(2, messages.Resources(3000, 10), gang=True)],
     ids=["single", "gang"])
 @pytest.mark.parametrize("fences", [(10, 20), (10, 11, 12), (10, 20, 90)])
 def test_run_numbers_of_a_new_term_exceed_those_of_earlier_terms(step, fences):
@@ -403,14 +403,14 @@
     job = fleetfakes.job("j", messages.Step(3, TASK_RESOURCES), messages.Step(
         2, TASK_RESOURCES, after=(0,), checkpoint=True))
     first = progress.JobState(job, 5)
-    first.occurrence(0)
+    first.create_tasks(0)
     first.state = state
     tasks = first.tasks[0, 0]
     tasks[1].done = True
     tasks[2].failed_runs = {1, 4}
     tasks[2].last_run = 4
     tasks[0].saved = "abc"
-    tasks[0].ran = True
+    tasks[0].has_run = True
     second = progress.JobState(progress.decode_job(
         progress.encode_job(job)), 5)
     progress.apply_progress(second, progress.encode_progress(first))
@@ -422,7 +422,7 @@
         assert again[2].failed_runs == {1, 4}
         assert again[2].last_run == 4
         assert again[0].saved == "abc"
-        assert [t.ran for t in again] == [True, False, False]
+        assert [t.has_run for t in again] == [True, False, False]
 
 
 @pytest.mark.parametrize(("second_tail_ms", "placed"), [(10.0, 1), (40.0, 0)],
@@ -437,14 +437,14 @@
     """
     bench = Bench(fleetfakes.entry(0))
     bench.add(fleetfakes.job("service", messages.Step(
-        1, messages.Room(3000, 10), perpetual=True, image="s",
+        1, messages.Resources(3000, 10), perpetual=True, image="s",
         target_ms=1000.0)))
     bench.place()
     name = messages.TaskId("service", 0, 0, 0)
     for figure in (10.0, second_tail_ms):
         bench.report("i-0", [messages.RunningTask(name, 1, "", 100, figure)])
     bench.add(fleetfakes.job("best-effort", messages.Step(
-        1, messages.Room(2000, 10), fills=True, image="f")))
+        1, messages.Resources(2000, 10), fills=True, image="f")))
     assert len(bench.place()) == placed
 
 
@@ -508,12 +508,12 @@
     """
     bench = Bench(fleetfakes.entry(0))
     bench.add(fleetfakes.job("j", messages.Step(
-        1, messages.Room(1000, 1000), perpetual=True)), created=5)
+        1, messages.Resources(1000, 1000), perpetual=True)), created=5)
     if outcome:
         bench.end("i-0", "j.0.0.0", 1, outcome)
     else:
         bench.report("i-0", [messages.RunningTask(
             messages.TaskId("j", 0, 0, 0), 1, "", 0, 0.0)])
     job = bench.state.jobs["j"]
-    assert job.tasks[0, 0][0].ran
+    assert job.tasks[0, 0][0].has_run
     assert job.dirty
