--- /dev/null
+++ b/sycamorefield/fleet/freeing.py
@@ -0,0 +1,69 @@
+"""Follow, within a round, the room that is coming on each worker."""
+
+from sycamorefield.fleet import messages
+from sycamorefield.fleet import placing
+from sycamorefield.fleet import progress
+from sycamorefield.fleet import workerstate
+
+
+class FreeingCapacity:
+    """Hold the room that is coming beside what is free, by worker.
+
+    Runs that stop leave it.  Where starts wait to be sent no room comes, but
+    what is free is there as soon as they are out.  It is worked out when
+    first asked for: most rounds never do.
+    """
+
+    def __init__(self, usable_workers: list[workerstate.WorkerState]) -> None:
+        self.usable_workers = usable_workers
+        self.freeing: dict[str, messages.Room] | None = None
+
+    def by_worker(self) -> dict[str, messages.Room]:
+        """Return the room of each worker where some is, or is held back."""
+        if self.freeing is None:
+            self.freeing = {}
+            for worker in self.usable_workers:
+                freeing_here = _freeing_on(worker)
+                if (freeing_here != messages.Room()
+                        or not worker.takes_starts()):
+                    self.freeing[worker.entry.worker_id] = freeing_here
+        return self.freeing
+
+    def claim(self, task: progress.TaskState, service: str,
+              workers: list[workerstate.WorkerState]) -> bool:
+        """Let a task wait for what comes on a worker; tell if any will do."""
+        request = task.step.reserved()
+        freeing = self.by_worker()
+        for worker in workers if freeing else ():
+            worker_id = worker.entry.worker_id
+            freeing_here = freeing.get(worker_id)
+            if (freeing_here is not None
+                and worker.free().plus(freeing_here).holds(request)
+                    and placing.allowed(worker, service, task)):
+                freeing[worker_id] = freeing_here.minus(request)
+                return True
+        return False
+
+    def record_preemption(self, task: progress.TaskState,
+                          worker: workerstate.WorkerState) -> None:
+        """Count what runs leave that were stopped on a worker for a task."""
+        self.by_worker()[worker.entry.worker_id] = _freeing_on(
+            worker).minus(task.step.reserved())
+
+    def record_start(self, worker: workerstate.WorkerState) -> None:
+        """Note a start; if it is the last for now, others wait behind it."""
+        if self.freeing is not None and not worker.takes_starts():
+            self.freeing.setdefault(worker.entry.worker_id, messages.Room())
+
+    def discard(self, worker: workerstate.WorkerState) -> None:
+        """Count on nothing that comes on a worker."""
+        self.by_worker().pop(worker.entry.worker_id, None)
+
+
+def _freeing_on(worker: workerstate.WorkerState) -> messages.Room:
+    freeing_here = messages.Room()
+    for run in worker.stopping:
+        task = worker.tasks.get(run)
+        if task is not None and task.phase == progress.STOPPING:
+            freeing_here = freeing_here.plus(task.step.reserved())
+    return freeing_here
--- a/sycamorefield/fleet/gangs.py
+++ b/sycamorefield/fleet/gangs.py
@@ -10,18 +10,18 @@
            ) -> list[workerstate.WorkerState]:
     """Return a worker for each member, in one rack if that is asked."""
     if not tasks[0].step.same_rack:
-        return _spread(tasks, service, usable)
+        return _assign(tasks, service, usable)
     racks: dict[str, list[workerstate.WorkerState]] = {}
     for worker in usable:
         racks.setdefault(worker.entry.rack(), []).append(worker)
-    for members in racks.values():
-        chosen = _spread(tasks, service, members)
+    for rack_workers in racks.values():
+        chosen = _assign(tasks, service, rack_workers)
         if chosen:
             return chosen
-    return _spread(tasks, service, usable)
+    return _assign(tasks, service, usable)
 
 
-def _spread(tasks: list[progress.TaskState], service: str,
+def _assign(tasks: list[progress.TaskState], service: str,
             workers: list[workerstate.WorkerState]
             ) -> list[workerstate.WorkerState]:
     """Return one worker a member, or nothing if not all have room."""
@@ -32,11 +32,11 @@
         if not placing.allowed(worker, service, tasks[0]):
             continue
         free = worker.free()
-        there = 0
+        placed_here = 0
         while (len(chosen) < len(tasks) and free.holds(reserved)
                and not (step.max_per_worker
-                        and there >= step.max_per_worker)):
+                        and placed_here >= step.max_per_worker)):
             chosen.append(worker)
             free = free.minus(reserved)
-            there += 1
+            placed_here += 1
     return chosen if len(chosen) == len(tasks) else []
--- a/sycamorefield/fleet/pacer.py
+++ b/sycamorefield/fleet/pacer.py
@@ -50,7 +50,7 @@
             if (task.step.target_ms and row.percent >= 100
                     and row.figure > 0):
                 self._take_tail(worker, row, task, beside, now)
-        if not placing.saturated(worker):
+        if not placing.is_saturated(worker):
             for tail in worker.tails:
                 self.learnt.observe(tail, beside)
         worker.over_reports = pacing.over_reports(worker.over_reports,
--- a/sycamorefield/fleet/shortage.py
+++ b/sycamorefield/fleet/placement_cache.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Scope:
+class SearchScope:
     """Name the workers among which a task may look for room.
 
     A step is named only where its tasks are spread or need tickets; an image
@@ -23,12 +23,12 @@
     # Only where runs of less urgent jobs may give way.
     priority: int | None = None
 
-    def wider(self) -> "Scope":
+    def without_restrictions(self) -> "SearchScope":
         """Return the scope without what is special to a step or label."""
-        return Scope(self.service, self.fills, image=self.image)
+        return SearchScope(self.service, self.fills, image=self.image)
 
 
-class Shortage:
+class UnplaceableRequests:
     """Spare the search for a need no smaller than one that found no room.
 
     On a full fleet most tasks that wait find none.  Searching all workers
@@ -37,35 +37,36 @@
     search answers for all that is as large.
     """
 
-    def __init__(self, remembers: bool = True) -> None:
-        self.remembers = remembers
-        self.failed: dict[Scope, list[messages.Room]] = {}
+    def __init__(self, enabled: bool = True) -> None:
+        self.enabled = enabled
+        self.unplaceable: dict[SearchScope, list[messages.Room]] = {}
 
-    def covers(self, scope: Scope, need: messages.Room) -> bool:
+    def covers(self, scope: SearchScope, request: messages.Room) -> bool:
         """Tell whether a need is known to find no room."""
-        return any(need.holds(smaller)
-                   for smaller in self._failed_in(scope))
+        return any(request.holds(known)
+                   for known in self._unplaceable_in(scope))
 
-    def _failed_in(self, scope: Scope) -> typing.Iterator[messages.Room]:
-        yield from self.failed.get(scope, ())
-        wider = scope.wider()
-        if wider != scope:
-            yield from self.failed.get(wider, ())
+    def _unplaceable_in(
+            self, scope: SearchScope) -> typing.Iterator[messages.Room]:
+        yield from self.unplaceable.get(scope, ())
+        unrestricted = scope.without_restrictions()
+        if unrestricted != scope:
+            yield from self.unplaceable.get(unrestricted, ())
 
-    def add(self, scope: Scope, need: messages.Room) -> None:
+    def add(self, scope: SearchScope, request: messages.Room) -> None:
         """Note that a need found no room."""
-        if not self.remembers:
+        if not self.enabled:
             return
-        others = [room for room in self.failed.get(scope, ())
-                  if not room.holds(need)]
-        self.failed[scope] = others + [need]
+        kept = [known for known in self.unplaceable.get(scope, ())
+                if not known.holds(request)]
+        self.unplaceable[scope] = kept + [request]
 
 
 # Needs remembered over rounds; a full fleet has some hundred that wait.
-MOST_MISSES = 4096
+MAX_CACHED_SEARCHES = 4096
 
 
-class Misses:
+class SearchCache:
     """Spare the search of workers that have not changed since the last one.
 
     On a full fleet the same needs wait in round after round, while a few
@@ -77,23 +78,23 @@
     """
 
     def __init__(self) -> None:
-        self.searched: dict[tuple[Scope, messages.Room], int] = {}
+        self.searched_at: dict[tuple[SearchScope, messages.Room], int] = {}
 
-    def untried(self, scope: Scope, need: messages.Room,
-                workers: list[workerstate.WorkerState]
-                ) -> list[workerstate.WorkerState]:
+    def workers_to_search(self, scope: SearchScope, request: messages.Room,
+                          workers: list[workerstate.WorkerState]
+                          ) -> list[workerstate.WorkerState]:
         """Return the workers that may have room, in their order."""
-        since = self.searched.get((scope, need))
+        since = self.searched_at.get((scope, request))
         if since is None:
             return workers
         return [w for w in workers if w.changed > since]
 
-    def add(self, scope: Scope, need: messages.Room) -> None:
+    def add(self, scope: SearchScope, request: messages.Room) -> None:
         """Note that a need has just found no room on any worker."""
-        if len(self.searched) >= MOST_MISSES:
-            self.searched.clear()
-        self.searched[scope, need] = next(workerstate.CHANGES)
+        if len(self.searched_at) >= MAX_CACHED_SEARCHES:
+            self.searched_at.clear()
+        self.searched_at[scope, request] = next(workerstate.CHANGES)
 
     def clear(self) -> None:
         """Forget all, because rules for all workers have changed."""
-        self.searched.clear()
+        self.searched_at.clear()
--- a/sycamorefield/fleet/placing.py
+++ b/sycamorefield/fleet/placing.py
@@ -11,14 +11,14 @@
 # A filling task is placed where this many times what it wants is expected to
 # be left over: processors that are all in use disturb every serving task, and
 # the load of those is known to a few percent only.
-FILL_SHARE = 1.05
+BEST_EFFORT_CPU_FACTOR = 1.05
 # A filling task goes where no tail that it harms is expected above this share
 # of its target: loads swing within a run, and what is placed close to the
 # share at which runs are slowed soon is.
-TAIL_LIMIT = 0.55
+MAX_TAIL_LATENCY_RATIO = 0.55
 
 
-def leftover_cpu(worker: workerstate.WorkerState) -> float:
+def available_best_effort_cpu(worker: workerstate.WorkerState) -> float:
     """Return processors that filling tasks may expect, in thousandths.
 
     Serving tasks use what their load tells; a fixed share of what they
@@ -29,9 +29,9 @@
             - worker.filling_cpu)
 
 
-def saturated(worker: workerstate.WorkerState) -> bool:
+def is_saturated(worker: workerstate.WorkerState) -> bool:
     """Tell whether filling tasks want more processors than are left over."""
-    return leftover_cpu(worker) < 0
+    return available_best_effort_cpu(worker) < 0
 
 
 def allowed(worker: workerstate.WorkerState, service: str,
@@ -44,8 +44,8 @@
         return False
     if step.max_per_worker:
         name = task.task
-        there = worker.count_of(name.job_id, name.occurrence, name.step)
-        if there >= step.max_per_worker:
+        running_here = worker.count_of(name.job_id, name.occurrence, name.step)
+        if running_here >= step.max_per_worker:
             return False
     return True
 
@@ -55,14 +55,16 @@
     """Tell whether a worker has the room, and gets its starts, now."""
     if not worker.takes_starts():
         return False
-    if step.fills and leftover_cpu(worker) < FILL_SHARE * step.room.cpu:
+    if step.fills and available_best_effort_cpu(
+            worker) < BEST_EFFORT_CPU_FACTOR * step.room.cpu:
         return False
     if not worker.free().holds(step.reserved()):
         return False
     if not step.fills or not learnt.limits:
         return True
     cores = step.room.cpu / 1000.0
-    return learnt.stays_below(worker.tails, step.image, cores, TAIL_LIMIT)
+    return learnt.stays_below(worker.tails, step.image,
+                              cores, MAX_TAIL_LATENCY_RATIO)
 
 
 def choose(task: progress.TaskState, service: str,
@@ -92,9 +94,10 @@
     step = task.step
     if not allowed(worker, service, task) or not fits(worker, step, learnt):
         return None
-    near = not step.affinity or step.affinity in worker.entry.labels
-    fresh = worker.entry.worker_id not in task.avoid
-    return (fresh, near, *_room_rank(worker, step, learnt))
+    has_data_nearby = not step.affinity or step.affinity in worker.entry.labels
+    not_failed_here = worker.entry.worker_id not in task.avoid
+    return (not_failed_here, has_data_nearby, *
+            _packing_rank(worker, step, learnt))
 
 
 class Ranking:
@@ -115,56 +118,59 @@
         # The best first; of equal ones the first in the order of workers.
         self.ranked: list[tuple[Rank, int, int,
                                 workerstate.WorkerState]] = []
-        for place, worker in enumerate(workers):
+        for position, worker in enumerate(workers):
             rank = _rank(worker, task, service, learnt)
             if rank is not None:
-                self.ranked.append(_entry(rank, place, worker))
+                self.ranked.append(_heap_entry(rank, position, worker))
         heapq.heapify(self.ranked)
 
     def best(self) -> workerstate.WorkerState | None:
         """Return the best worker as of now, or None if none has room."""
         while self.ranked:
-            _, place, changed, worker = self.ranked[0]
+            _, position, changed, worker = self.ranked[0]
             if worker.changed == changed:
                 return worker
             rank = _rank(worker, self.task, self.service, self.learnt)
             if rank is None:
                 heapq.heappop(self.ranked)
             else:
-                heapq.heapreplace(self.ranked, _entry(rank, place, worker))
+                heapq.heapreplace(
+                    self.ranked, _heap_entry(rank, position, worker))
         return None
 
 
-def _entry(rank: Rank, place: int, worker: workerstate.WorkerState
-           ) -> tuple[Rank, int, int, workerstate.WorkerState]:
-    return tuple(-part for part in rank), place, worker.changed, worker
+def _heap_entry(rank: Rank, position: int, worker: workerstate.WorkerState
+                ) -> tuple[Rank, int, int, workerstate.WorkerState]:
+    return tuple(-part for part in rank), position, worker.changed, worker
 
 
 # Added harm below this (a tail 2% higher a core) counts as none.
-HARMLESS = 0.02
+NEGLIGIBLE_HARM = 0.02
 
 
-def _room_rank(worker: workerstate.WorkerState, step: messages.Step,
-               learnt: interference.Interference) -> tuple[float, ...]:
+def _packing_rank(worker: workerstate.WorkerState, step: messages.Step,
+                  learnt: interference.Interference) -> tuple[float, ...]:
     if step.fills:
         harm = learnt.harm(worker.tails, step.image)
-        return (-round(harm / HARMLESS), leftover_cpu(worker))
+        return (-round(harm / NEGLIGIBLE_HARM),
+                available_best_effort_cpu(worker))
     if step.target_ms:
         # Serving tasks of one image together: a filling image that harms
         # them then finds other workers where it harms nobody.
-        images = [task.step.image for task in worker.tasks.values()
-                  if task.step.target_ms]
-        same = images.count(step.image)
-        others = len(images) - same
-        return (-float(others), float(same > 0), -float(worker.free().cpu))
+        serving_images = [task.step.image for task in worker.tasks.values()
+                          if task.step.target_ms]
+        same_image = serving_images.count(step.image)
+        other_images = len(serving_images) - same_image
+        return (-float(other_images), float(same_image > 0), -
+                float(worker.free().cpu))
     # The smallest gap that fits: wide gaps stay for wide tasks.
     return (-float(worker.free().cpu), -float(worker.free().mem_mb))
 
 
-def victims(task: progress.TaskState, service: str, priority: int,
-            workers: typing.Iterable[workerstate.WorkerState],
-            priority_of: typing.Callable[[progress.TaskState], int]
-            ) -> list[progress.TaskState]:
+def choose_victims(task: progress.TaskState, service: str, priority: int,
+                   workers: typing.Iterable[workerstate.WorkerState],
+                   priority_of: typing.Callable[[progress.TaskState], int]
+                   ) -> list[progress.TaskState]:
     """Return the fewest less urgent runs that make room for a task.
 
     Runs that save their progress go first, then those that began last:
@@ -174,32 +180,32 @@
     for worker in workers:
         if not allowed(worker, service, task):
             continue
-        chosen = _victims_on(worker, task.step, priority, priority_of)
+        chosen = _choose_victims_on(worker, task.step, priority, priority_of)
         if chosen and (not best or len(chosen) < len(best)):
             best = chosen
     return best
 
 
-def _victims_on(worker: workerstate.WorkerState, step: messages.Step,
-                priority: int,
-                priority_of: typing.Callable[[progress.TaskState], int]
-                ) -> list[progress.TaskState]:
-    need = step.reserved()
+def _choose_victims_on(worker: workerstate.WorkerState, step: messages.Step,
+                       priority: int,
+                       priority_of: typing.Callable[[progress.TaskState], int]
+                       ) -> list[progress.TaskState]:
+    request = step.reserved()
     free = worker.free()
-    if need.cpu > free.cpu and not worker.yielding:
+    if request.cpu > free.cpu and not worker.yielding:
         # Filling runs hold no processors; on a full fleet most runs fill.
         return []
     candidates = [t for t in worker.tasks.values()
                   if t.phase == progress.RUNNING and not t.step.perpetual
                   and priority_of(t) > priority]
-    if need.cpu > free.cpu and all(t.step.fills for t in candidates):
+    if request.cpu > free.cpu and all(t.step.fills for t in candidates):
         return []
     candidates.sort(key=lambda t: (t.step.checkpoint, t.started),
                     reverse=True)
     chosen: list[progress.TaskState] = []
     for task in candidates:
-        if free.holds(need):
+        if free.holds(request):
             break
         chosen.append(task)
         free = free.plus(task.step.reserved())
-    return chosen if free.holds(need) else []
+    return chosen if free.holds(request) else []
--- a/sycamorefield/fleet/reports.py
+++ b/sycamorefield/fleet/reports.py
@@ -99,7 +99,7 @@
         return
     if began:
         task.earlier_s = now - began
-    if demand.is_short(task.step) and began:
+    if demand.is_finite(task.step) and began:
         fleet.demand.add_run(job.job.queue, now - began)
     place = (task.task.occurrence, task.task.step)
     members = job.tasks[place] if task.step.gang else [task]
--- a/sycamorefield/fleet/gaps.py
+++ b/sycamorefield/fleet/reservations.py
@@ -4,9 +4,9 @@
 import dataclasses
 
 from sycamorefield.fleet import messages
+from sycamorefield.fleet import placement_cache
 from sycamorefield.fleet import placing
 from sycamorefield.fleet import progress
-from sycamorefield.fleet import shortage
 from sycamorefield.fleet import workerstate
 
 # A task that goes first after 4 s down counts as lost 5 s later; runs that
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Candidate:
+class ReservableWorker:
     """Hold a worker's room beyond its claims, now and later.
 
     soon is what is left once its short runs have ended, late once all have
@@ -23,19 +23,19 @@
     """
 
     worker: workerstate.WorkerState
-    left: messages.Room
-    soon: messages.Room
-    late: messages.Room
-    claims: collections.Counter[messages.StepId] = dataclasses.field(
+    free: messages.Room
+    free_soon: messages.Room
+    free_eventually: messages.Room
+    reserved_tasks: collections.Counter[messages.StepId] = dataclasses.field(
         default_factory=collections.Counter)
 
-    def claim(self, task: progress.TaskState) -> None:
+    def reserve(self, task: progress.TaskState) -> None:
         """Take off what a task will need."""
-        need = task.step.reserved()
-        self.left = self.left.minus(need)
-        self.soon = self.soon.minus(need)
-        self.late = self.late.minus(need)
-        self.claims[task.task.step_id()] += 1
+        request = task.step.reserved()
+        self.free = self.free.minus(request)
+        self.free_soon = self.free_soon.minus(request)
+        self.free_eventually = self.free_eventually.minus(request)
+        self.reserved_tasks[task.task.step_id()] += 1
 
     def allows(self, task: progress.TaskState, service: str,
                tickets: dict[str, str] | None) -> bool:
@@ -49,11 +49,12 @@
         if not step.max_per_worker:
             return True
         name = task.task
-        there = worker.count_of(name.job_id, name.occurrence, name.step)
-        return there + self.claims[name.step_id()] < step.max_per_worker
+        running_here = worker.count_of(name.job_id, name.occurrence, name.step)
+        return running_here + \
+            self.reserved_tasks[name.step_id()] < step.max_per_worker
 
 
-class Gaps:
+class Reservations:
     """Claim workers on which runs that end will leave a wide enough gap.
 
     What goes wrong without: a task that goes first but is wider than any gap
@@ -66,53 +67,57 @@
 
     def __init__(self, workers: list[workerstate.WorkerState]) -> None:
         self.workers = list(workers)
-        self.candidates: list[Candidate] | None = None
-        self.failed = shortage.Shortage()
+        self.candidates: list[ReservableWorker] | None = None
+        self.unplaceable = placement_cache.UnplaceableRequests()
 
-    def claim(self, task: progress.TaskState, scope: shortage.Scope,
-              tickets: dict[str, str] | None
-              ) -> workerstate.WorkerState | None:
+    def reserve(self, task: progress.TaskState,
+                scope: placement_cache.SearchScope,
+                tickets: dict[str, str] | None
+                ) -> workerstate.WorkerState | None:
         """Return the worker to keep clear for a task, or None."""
-        need = task.step.reserved()
-        if self.failed.covers(scope, need):
+        request = task.step.reserved()
+        if self.unplaceable.covers(scope, request):
             return None
         if self.candidates is None:
-            self.candidates = [_candidate(w) for w in self.workers]
-        for late in (False, True):
-            best = self._widest(task, scope.service, tickets, late)
+            self.candidates = [_reservable_worker(w) for w in self.workers]
+        for include_long_runs in (False, True):
+            best = self._choose_worker(
+                task, scope.service, tickets, include_long_runs)
             if best is not None:
-                best.claim(task)
+                best.reserve(task)
                 return best.worker
-        self.failed.add(scope, need)
+        self.unplaceable.add(scope, request)
         return None
 
-    def _widest(self, task: progress.TaskState, service: str,
-                tickets: dict[str, str] | None,
-                late: bool) -> Candidate | None:
+    def _choose_worker(self, task: progress.TaskState, service: str,
+                       tickets: dict[str, str] | None,
+                       include_long_runs: bool) -> ReservableWorker | None:
         """Return where the gap is widest now of those that will do.
 
         It is the next to be wide enough; as nothing else takes of it, the
         choice mostly stays the same from round to round.
         """
-        need = task.step.reserved()
+        request = task.step.reserved()
         best = None
         for candidate in self.candidates or ():
-            if best is not None and candidate.left.cpu <= best.left.cpu:
+            if best is not None and candidate.free.cpu <= best.free.cpu:
                 continue
-            room = candidate.late if late else candidate.soon
-            if room.holds(need) and candidate.allows(task, service, tickets):
+            free_later = (candidate.free_eventually if include_long_runs
+                          else candidate.free_soon)
+            if free_later.holds(request) and candidate.allows(
+                    task, service, tickets):
                 best = candidate
         return best
 
 
-def _candidate(worker: workerstate.WorkerState) -> Candidate:
-    soon = late = free = worker.free()
+def _reservable_worker(worker: workerstate.WorkerState) -> ReservableWorker:
+    free_soon = free_eventually = free = worker.free()
     for task in worker.tasks.values():
         stopping = task.phase == progress.STOPPING
         if task.step.perpetual and not stopping:
             continue
-        room = task.step.reserved()
-        late = late.plus(room)
+        reserved = task.step.reserved()
+        free_eventually = free_eventually.plus(reserved)
         if stopping or task.step.estimate_ms <= SHORT_RUN_MS:
-            soon = soon.plus(room)
-    return Candidate(worker, free, soon, late)
+            free_soon = free_soon.plus(reserved)
+    return ReservableWorker(worker, free, free_soon, free_eventually)
--- a/sycamorefield/fleet/rounds.py
+++ b/sycamorefield/fleet/rounds.py
@@ -3,16 +3,16 @@
 import dataclasses
 
 from sycamorefield import events
-from sycamorefield.fleet import coming
+from sycamorefield.fleet import freeing
 from sycamorefield.fleet import gangs
-from sycamorefield.fleet import gaps
 from sycamorefield.fleet import headroom
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import ordering
 from sycamorefield.fleet import pacer
+from sycamorefield.fleet import placement_cache
 from sycamorefield.fleet import placing
 from sycamorefield.fleet import progress
-from sycamorefield.fleet import shortage
+from sycamorefield.fleet import reservations
 from sycamorefield.fleet import state as state_mod
 from sycamorefield.fleet import trials
 from sycamorefield.fleet import workerstate
@@ -20,11 +20,11 @@
 # A filling run slowed to pacer.STALLED_PACE for this long moves to a worker
 # where it is expected to harm nobody, if there is one.  Moving sooner throws
 # more work away than it saves.
-STALLED_S = 1.0
+MOVE_STALLED_AFTER_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Site:
+class EligibleWorkers:
     """Say where a step may run: its service, workers and their tickets.
 
     Without a queue's advice policy there are no tickets at all.
@@ -38,11 +38,11 @@
         """Return the ticket that a start on a worker carries, or nothing."""
         return (self.tickets or {}).get(worker.entry.worker_id, "")
 
-    def scope(self, task: progress.TaskState) -> shortage.Scope:
+    def scope(self, task: progress.TaskState) -> placement_cache.SearchScope:
         """Name the workers among which a task of the step looks for room."""
         step = task.step
         own = step.max_per_worker or self.tickets is not None
-        return shortage.Scope(
+        return placement_cache.SearchScope(
             self.service, step.fills, step.requires,
             step.image if step.fills else "",
             task.task.step_id() if own else None)
@@ -53,25 +53,29 @@
 
     def __init__(self, fleet: state_mod.FleetState,
                  queues: dict[str, messages.Queue],
-                 usable: list[workerstate.WorkerState],
+                 usable_workers: list[workerstate.WorkerState],
                  now: float) -> None:
         self.fleet = fleet
         self.queues = queues
-        self.usable = usable
+        self.usable_workers = usable_workers
         # How many workers there are for all, those set aside among them.
-        self.workers_in_all = len(usable) + len(fleet.trials.by_worker)
+        self.worker_count = len(usable_workers) + len(fleet.trials.by_worker)
         self.now = now
         self.policy = fleet.policy
         # What finds no room now, and what can't expect any soon either.
-        remembers = self.policy.remember_shortage
-        self.shortage = shortage.Shortage(remembers)
-        self.hopeless = shortage.Shortage(remembers)
-        self.gaps = gaps.Gaps(usable)
+        remember_searches = self.policy.remember_shortage
+        self.unplaceable = placement_cache.UnplaceableRequests(
+            remember_searches)
+        self.no_capacity_expected = placement_cache.UnplaceableRequests(
+            remember_searches)
+        self.reservations = reservations.Reservations(usable_workers)
         # Lasting tasks that found none beside the room to leave, and that
         # room, by service and by the priority of the lasting job.
-        self.held = {part: shortage.Shortage() for part in headroom.Part}
+        self.held_back = {
+            required: placement_cache.UnplaceableRequests()
+            for required in headroom.RequiredHeadroom}
         self.headrooms: dict[tuple[str, int], headroom.Headroom] = {}
-        self.coming = coming.ComingRoom(usable)
+        self.freeing = freeing.FreeingCapacity(usable_workers)
         # Workers on which something else was not to start in this round.
         self.excluded: list[workerstate.WorkerState] = []
         # Workers for the tasks of the step being placed.
@@ -90,118 +94,127 @@
         if not idle:
             return bool(waiting)
         step = state.job.steps[number]
-        site = self._site(state, idle[0])
+        eligible = self._eligible_workers(state, idle[0])
         suspected = [t for t in idle if t.suspicion and t.needs_trial()]
         if suspected:
-            self._place_suspected(state, tasks, idle, suspected, site)
+            self._place_suspected(state, tasks, idle, suspected, eligible)
         elif step.gang:
-            self._place_gang(state, tasks, idle, site)
+            self._place_gang(state, tasks, idle, eligible)
         else:
-            self._place_tasks(state, tasks, idle, site)
-        if site.tickets is not None:
-            self._ask_advice(state, idle, site)
+            self._place_tasks(state, tasks, idle, eligible)
+        if eligible.tickets is not None:
+            self._ask_advice(state, idle, eligible)
         return True
 
     def _ask_advice(self, state: progress.JobState,
-                    tasks: list[progress.TaskState], site: Site) -> None:
+                    tasks: list[progress.TaskState],
+                    eligible: EligibleWorkers) -> None:
         """Ask about further workers while tasks of a step find no room."""
         queue = self.queues[state.job.queue]
-        left = [t for t in tasks if t.phase == progress.IDLE]
-        if not left or queue.advice is None:
+        unplaced = [t for t in tasks if t.phase == progress.IDLE]
+        if not unplaced or queue.advice is None:
             return
-        roomiest = sorted((w for w in self.usable
-                           if w.entry.service == site.service),
-                          key=lambda w: -w.free().cpu)
+        by_free_cpu = sorted((w for w in self.usable_workers
+                              if w.entry.service == eligible.service),
+                             key=lambda w: -w.free().cpu)
         self.fleet.advice.want(
-            left[0].task.step_id(),
-            (w.entry.worker_id for w in roomiest), queue.advice, self.now)
+            unplaced[0].task.step_id(),
+            (w.entry.worker_id for w in by_free_cpu), queue.advice, self.now)
 
-    def _site(self, state: progress.JobState,
-              task: progress.TaskState) -> Site:
+    def _eligible_workers(self, state: progress.JobState,
+                          task: progress.TaskState) -> EligibleWorkers:
         """Return where a task's step may run, by configuration and advice."""
         queue = self.queues.get(state.job.queue)
         service = queue.service if queue else state.job.service
         if queue is None or queue.advice is None:
-            return Site(service, self.usable)
+            return EligibleWorkers(service, self.usable_workers)
         tickets = self.fleet.advice.valid(task.task.step_id(), self.now)
-        return Site(service, [w for w in self.usable
-                              if w.entry.worker_id in tickets], tickets)
+        return EligibleWorkers(service, [w for w in self.usable_workers
+                                         if w.entry.worker_id in tickets],
+                               tickets)
 
     def _place_tasks(self, state: progress.JobState,
                      tasks: list[progress.TaskState],
-                     idle: list[progress.TaskState], site: Site) -> None:
+                     idle: list[progress.TaskState],
+                     eligible: EligibleWorkers) -> None:
         """Start the idle ones of the tasks of a step as far as room goes."""
-        holds_back = (self.policy.keep_room_for_short_work
-                      and state.job.steps[idle[0].task.step].perpetual)
-        placed = headroom.placed(tasks) if holds_back else 0
-        given_up: set[headroom.Part] = set()
+        keeps_headroom = (self.policy.keep_room_for_short_work
+                          and state.job.steps[idle[0].task.step].perpetual)
+        placed_count = headroom.placed_count(tasks) if keeps_headroom else 0
+        exhausted: set[headroom.RequiredHeadroom] = set()
         self.ranking = None
         for task in idle:
-            part = headroom.part(task, placed,
-                                 self.policy.spread_lasting_jobs)
-            if holds_back and part is not headroom.Part.ANY_ROOM:
+            required = headroom.required_headroom(
+                task, placed_count, self.policy.spread_lasting_jobs)
+            if (keeps_headroom
+                    and required is not headroom.RequiredHeadroom.NONE):
                 # Others of the step may have run, and need not leave room.
-                if part in given_up:
+                if required in exhausted:
                     continue
-                if self._place_lasting(state, task, site, part):
-                    placed += 1
-                elif self._waits(state, task, site, part):
-                    given_up.add(part)
-            elif not self._place_task(state, task, site):
+                if self._place_long_running(state, task, eligible, required):
+                    placed_count += 1
+                elif self._is_held_back(state, task, eligible, required):
+                    exhausted.add(required)
+            elif not self._place_task(state, task, eligible):
                 # Its other tasks are as large and look as far.
                 break
 
     def _place_task(self, state: progress.JobState,
-                    task: progress.TaskState, site: Site) -> bool:
+                    task: progress.TaskState,
+                    eligible: EligibleWorkers) -> bool:
         """Start a task where there is room; tell if others may be tried."""
-        scope = site.scope(task)
-        need = task.step.room
-        if not self.shortage.covers(scope, need):
-            worker = self._choose(task, site)
+        scope = eligible.scope(task)
+        request = task.step.room
+        if not self.unplaceable.covers(scope, request):
+            worker = self._choose_worker(task, eligible)
             if worker is not None:
-                self._start(state, task, worker, site)
+                self._start(state, task, worker, eligible)
                 return True
-            self.shortage.add(scope, need)
-            self.fleet.no_room.add(scope, need)
-        return self._wait_for_room(state, task, site, scope)
+            self.unplaceable.add(scope, request)
+            self.fleet.no_room.add(scope, request)
+        return self._wait_for_capacity(state, task, eligible, scope)
 
-    def _wait_for_room(self, state: progress.JobState,
-                       task: progress.TaskState, site: Site,
-                       scope: shortage.Scope) -> bool:
+    def _wait_for_capacity(self, state: progress.JobState,
+                           task: progress.TaskState, eligible: EligibleWorkers,
+                           scope: placement_cache.SearchScope) -> bool:
         """Let a task without room wait; tell if others may be tried."""
-        expected = self._expects_room(state, task, site, scope)
+        expects_capacity = self._expects_capacity(state, task, eligible, scope)
         if (self.policy.keep_gaps and task.ran
-                and ordering.interrupted(state, self.now)):
-            return self._keep_gap(task, site, scope) or expected
+                and ordering.is_interrupted(state, self.now)):
+            return self._reserve_worker(
+                task, eligible, scope) or expects_capacity
         # Of one step some lasting tasks may have run and others not.
-        return expected or task.step.perpetual
+        return expects_capacity or task.step.perpetual
 
-    def _choose(self, task: progress.TaskState, site: Site
-                ) -> workerstate.WorkerState | None:
+    def _choose_worker(self, task: progress.TaskState,
+                       eligible: EligibleWorkers
+                       ) -> workerstate.WorkerState | None:
         """Return the best worker for a task of the step being placed."""
         if task.avoid or not self.policy.remember_shortage:
             self.ranking = None
             return placing.choose(
-                task, site.service,
-                self._untried(task, site, site.scope(task)),
+                task, eligible.service,
+                self._workers_to_search(task, eligible, eligible.scope(task)),
                 self.fleet.learnt)
         if self.ranking is None:
             self.ranking = placing.Ranking(
-                task, site.service,
-                self._untried(task, site, site.scope(task)),
+                task, eligible.service,
+                self._workers_to_search(task, eligible, eligible.scope(task)),
                 self.fleet.learnt)
         return self.ranking.best()
 
-    def _untried(self, task: progress.TaskState, site: Site,
-                 scope: shortage.Scope) -> list[workerstate.WorkerState]:
+    def _workers_to_search(self, task: progress.TaskState,
+                           eligible: EligibleWorkers,
+                           scope: placement_cache.SearchScope
+                           ) -> list[workerstate.WorkerState]:
         """Return the workers that may have room for a task by now."""
-        if site.tickets is not None or not self.policy.remember_shortage:
-            return site.workers
-        return self.fleet.no_room.untried(scope, task.step.room,
-                                          site.workers)
+        if eligible.tickets is not None or not self.policy.remember_shortage:
+            return eligible.workers
+        return self.fleet.no_room.workers_to_search(scope, task.step.room,
+                                                    eligible.workers)
 
-    def _exclude(self, worker: workerstate.WorkerState,
-                 *lists: list[workerstate.WorkerState]) -> None:
+    def _exclude_worker(self, worker: workerstate.WorkerState,
+                        *worker_lists: list[workerstate.WorkerState]) -> None:
         """Start nothing more on a worker in this round.
 
         In the next one it counts as changed: what finds no room now has not
@@ -209,7 +222,7 @@
         """
         self.excluded.append(worker)
         self.ranking = None
-        for workers in lists:
+        for workers in worker_lists:
             if worker in workers:
                 workers.remove(worker)
 
@@ -218,136 +231,148 @@
         for worker in self.excluded:
             worker.touch()
 
-    def _place_lasting(self, state: progress.JobState,
-                       task: progress.TaskState, site: Site,
-                       part: headroom.Part) -> bool:
+    def _place_long_running(self, state: progress.JobState,
+                            task: progress.TaskState,
+                            eligible: EligibleWorkers,
+                            required: headroom.RequiredHeadroom) -> bool:
         """Start a lasting task where it leaves room; tell if it was.
 
         Less urgent runs give way to it as to any, but only where it may go.
         """
-        if self._waits(state, task, site, part):
+        if self._is_held_back(state, task, eligible, required):
             return False
-        need = task.step.room
-        scope = site.scope(task)
-        room = self._headroom(state, site)
-        workers = room.allowed(part, task.step, site.workers)
-        if not self.shortage.covers(scope, need):
-            worker = (self._choose(task, site) if workers is site.workers
-                      else placing.choose(task, site.service, workers,
+        request = task.step.room
+        scope = eligible.scope(task)
+        headroom_ = self._headroom_for(state, eligible)
+        workers = headroom_.allowed_workers(
+            required, task.step, eligible.workers)
+        if not self.unplaceable.covers(scope, request):
+            worker = (self._choose_worker(task, eligible)
+                      if workers is eligible.workers
+                      else placing.choose(task, eligible.service, workers,
                                           self.fleet.learnt))
             if worker is not None:
-                self._start(state, task, worker, site)
+                self._start(state, task, worker, eligible)
                 return True
-        if not self._make_room(state, task,
-                               dataclasses.replace(site, workers=workers)):
-            self.held[part].add(scope, need)
+        if not self._preempt_for(state, task,
+                                 dataclasses.replace(eligible,
+                                                     workers=workers)):
+            self.held_back[required].add(scope, request)
         return False
 
-    def _waits(self, state: progress.JobState, task: progress.TaskState,
-               site: Site, part: headroom.Part) -> bool:
+    def _is_held_back(self, state: progress.JobState, task: progress.TaskState,
+                      eligible: EligibleWorkers,
+                      required: headroom.RequiredHeadroom) -> bool:
         """Tell whether a lasting task is known not to start in this round.
 
         All of its step that leave as much room wait with it.
         """
-        if self.held[part].covers(site.scope(task), task.step.room):
+        if self.held_back[required].covers(
+                eligible.scope(task), task.step.room):
             return True
-        return (part is headroom.Part.REST and self._headroom(
-            state, site).settling(self.now - state.seen_at))
+        return (required is headroom.RequiredHeadroom.ALL
+                and self._headroom_for(state, eligible).delays_remaining_tasks(
+                    self.now - state.seen_at))
 
-    def _headroom(self, state: progress.JobState,
-                  site: Site) -> headroom.Headroom:
+    def _headroom_for(self, state: progress.JobState,
+                      eligible: EligibleWorkers) -> headroom.Headroom:
         priority = ordering.priority(state, self.queues)
-        room = self.headrooms.get((site.service, priority))
-        if room is None:
-            room = headroom.Headroom(
-                [w for w in self.usable
-                 if w.entry.service == site.service],
+        headroom_ = self.headrooms.get((eligible.service, priority))
+        if headroom_ is None:
+            headroom_ = headroom.Headroom(
+                [w for w in self.usable_workers
+                 if w.entry.service == eligible.service],
                 self.fleet.demand, priority, self.now)
-            self.headrooms[site.service, priority] = room
-        return room
+            self.headrooms[eligible.service, priority] = headroom_
+        return headroom_
 
     def _start(self, state: progress.JobState, task: progress.TaskState,
-               worker: workerstate.WorkerState, site: Site) -> None:
+               worker: workerstate.WorkerState,
+               eligible: EligibleWorkers) -> None:
         self.fleet.start(state, task, worker, state.next_run(task),
-                         site.ticket(worker))
-        for room in self.headrooms.values():
-            room.started(worker, task.step.reserved().cpu)
-        self.coming.started(worker)
-
-    def _expects_room(self, state: progress.JobState,
-                      task: progress.TaskState, site: Site,
-                      scope: shortage.Scope) -> bool:
+                         eligible.ticket(worker))
+        for headroom_ in self.headrooms.values():
+            headroom_.record_start(worker, task.step.reserved().cpu)
+        self.freeing.record_start(worker)
+
+    def _expects_capacity(self, state: progress.JobState,
+                          task: progress.TaskState, eligible: EligibleWorkers,
+                          scope: placement_cache.SearchScope) -> bool:
         """Tell whether room is coming for a task, or make some."""
-        need = task.step.room
-        if task.step.fills or self.hopeless.covers(scope, need):
+        request = task.step.room
+        if task.step.fills or self.no_capacity_expected.covers(scope, request):
             # What fills waits for processors that serving tasks leave.
             return False
-        if self._make_room(state, task, site):
+        if self._preempt_for(state, task, eligible):
             return True
-        self.hopeless.add(scope, need)
+        self.no_capacity_expected.add(scope, request)
         return False
 
-    def _keep_gap(self, task: progress.TaskState, site: Site,
-                  scope: shortage.Scope) -> bool:
+    def _reserve_worker(self, task: progress.TaskState,
+                        eligible: EligibleWorkers,
+                        scope: placement_cache.SearchScope) -> bool:
         """Let a lasting task that is down wait for a gap that grows.
 
         Also where room is coming: others would count on it, too, and take
         the part that is free already.
         """
-        worker = self.gaps.claim(task, scope, site.tickets)
+        worker = self.reservations.reserve(task, scope, eligible.tickets)
         if worker is None:
             return False
-        self.coming.drop(worker)
-        self._exclude(worker, self.usable, site.workers)
+        self.freeing.discard(worker)
+        self._exclude_worker(worker, self.usable_workers, eligible.workers)
         return True
 
     def _place_gang(self, state: progress.JobState,
                     tasks: list[progress.TaskState],
-                    idle: list[progress.TaskState], site: Site) -> None:
+                    idle: list[progress.TaskState],
+                    eligible: EligibleWorkers) -> None:
         """Start all members at once with one run number, or none."""
         if len(idle) < len(tasks):
             return
         run = max(state.next_run(t) for t in tasks)
-        chosen = gangs.choose(tasks, site.service, site.workers)
+        chosen = gangs.choose(tasks, eligible.service, eligible.workers)
         saved = max((t.saved for t in tasks), default="")
         for task, worker in zip(tasks, chosen):
             task.saved = saved
-            self.fleet.start(state, task, worker, run, site.ticket(worker))
+            self.fleet.start(state, task, worker, run, eligible.ticket(worker))
 
     def _place_suspected(self, state: progress.JobState,
                          tasks: list[progress.TaskState],
                          idle: list[progress.TaskState],
                          suspected: list[progress.TaskState],
-                         site: Site) -> None:
+                         eligible: EligibleWorkers) -> None:
         """Try the suspected tasks of a step apart, and start the others."""
         if tasks[0].step.gang:
             if len(idle) == len(tasks):
-                self._try_apart(state, tasks, site)
+                self._place_in_quarantine(state, tasks, eligible)
             return
         for task in suspected:
-            self._try_apart(state, [task], site)
+            self._place_in_quarantine(state, [task], eligible)
         others = [task for task in idle if task not in suspected]
         if others:
-            self._place_tasks(state, tasks, others, site)
+            self._place_tasks(state, tasks, others, eligible)
 
-    def _try_apart(self, state: progress.JobState,
-                   tasks: list[progress.TaskState], site: Site) -> None:
+    def _place_in_quarantine(self, state: progress.JobState,
+                             tasks: list[progress.TaskState],
+                             eligible: EligibleWorkers) -> None:
         """Start suspected tasks where a crash could only come from them."""
         trial = self.fleet.trials.by_task.get(tasks[0].task)
         if trial is None:
-            self._set_aside(state, tasks, site)
+            self._quarantine_workers(state, tasks, eligible)
             return
         workers = self.fleet.workers
         if trial.run or trial.inherited:
             return
         if not trials.is_ready(trial, workers, self.now):
             return
-        if not trials.fits(trial, workers, site.service, site.tickets):
+        if not trials.fits(trial, workers, eligible.service, eligible.tickets):
             self.fleet.trials.remove(trial, "no room or not allowed")
             return
-        self._start_trial(trial, site)
+        self._start_quarantine_run(trial, eligible)
 
-    def _start_trial(self, trial: trials.Trial, site: Site) -> None:
+    def _start_quarantine_run(self, trial: trials.Trial,
+                              eligible: EligibleWorkers) -> None:
         state = trial.job
         trial.run = max(state.next_run(task) for task, _ in trial.members)
         saved = max(task.saved for task, _ in trial.members)
@@ -358,16 +383,18 @@
             task.saved = saved
             worker = self.fleet.workers[worker_id]
             self.fleet.start(state, task, worker, trial.run,
-                             site.ticket(worker))
+                             eligible.ticket(worker))
 
-    def _set_aside(self, state: progress.JobState,
-                   tasks: list[progress.TaskState], site: Site) -> None:
+    def _quarantine_workers(self, state: progress.JobState,
+                            tasks: list[progress.TaskState],
+                            eligible: EligibleWorkers) -> None:
         """Keep workers free of other starts until the tasks run there."""
-        if not self.fleet.trials.may_add(self.workers_in_all):
+        if not self.fleet.trials.may_add(self.worker_count):
             return
-        chosen = self._choose_apart(tasks, site)
+        chosen = self._choose_quarantine_workers(tasks, eligible)
         if not chosen and not tasks[0].step.gang:
-            self._wait_for_room(state, tasks[0], site, site.scope(tasks[0]))
+            self._wait_for_capacity(
+                state, tasks[0], eligible, eligible.scope(tasks[0]))
         if not chosen:
             return
         members = [(task, worker.entry.worker_id)
@@ -375,92 +402,99 @@
         self.fleet.trials.add(trials.Trial(state, members, self.now))
         state.dirty = self.fleet.commit_now = True
         for worker in chosen:
-            self.coming.drop(worker)
-            self._exclude(worker, self.usable, site.workers)
+            self.freeing.discard(worker)
+            self._exclude_worker(worker, self.usable_workers, eligible.workers)
 
-    def _choose_apart(self, tasks: list[progress.TaskState], site: Site
-                      ) -> list[workerstate.WorkerState]:
+    def _choose_quarantine_workers(self, tasks: list[progress.TaskState],
+                                   eligible: EligibleWorkers
+                                   ) -> list[workerstate.WorkerState]:
         """Return workers to set aside, if possible without young runs."""
-        quiet = [worker for worker in site.workers
-                 if not trials.has_young_run(worker, self.now)]
-        for workers in (quiet, site.workers):
+        without_young_runs = [worker for worker in eligible.workers
+                              if not trials.has_young_run(worker, self.now)]
+        for workers in (without_young_runs, eligible.workers):
             if tasks[0].step.gang:
-                chosen = gangs.choose(tasks, site.service, workers)
+                chosen = gangs.choose(tasks, eligible.service, workers)
             else:
-                best = placing.choose(tasks[0], site.service, workers,
+                best = placing.choose(tasks[0], eligible.service, workers,
                                       self.fleet.learnt)
                 chosen = [best] if best is not None else []
             if chosen:
                 return chosen
         return []
 
-    def move_stalled(self) -> None:
+    def move_one_stalled_run(self) -> None:
         """Stop runs that make little progress if others have room."""
         for worker in self.fleet.workers.values():
             for task in list(worker.tasks.values()) if worker.stalls else ():
-                if not self._stalled(task):
+                if not self._is_stalled(task):
                     continue
-                target = self._better_place(worker, task)
+                target = self._find_move_target(worker, task)
                 if target is not None:
                     self.fleet.stop_run(task, "little progress here")
                     # Until it is placed there, others must not count on
                     # the same processors.
-                    self._exclude(target, self.usable)
+                    self._exclude_worker(target, self.usable_workers)
                     return
 
-    def _better_place(self, worker: workerstate.WorkerState,
-                      task: progress.TaskState
-                      ) -> workerstate.WorkerState | None:
+    def _find_move_target(self, worker: workerstate.WorkerState,
+                          task: progress.TaskState
+                          ) -> workerstate.WorkerState | None:
         """Return another worker that has room for a run, or None."""
-        site = self._site(self.fleet.jobs[task.task.job_id], task)
-        scope = site.scope(task)
-        if self.shortage.covers(scope, task.step.room):
+        eligible = self._eligible_workers(
+            self.fleet.jobs[task.task.job_id], task)
+        scope = eligible.scope(task)
+        if self.unplaceable.covers(scope, task.step.room):
             return None
-        others = [w for w in self._untried(task, site, scope)
+        others = [w for w in self._workers_to_search(task, eligible, scope)
                   if w is not worker]
-        target = placing.choose(task, site.service, others,
+        target = placing.choose(task, eligible.service, others,
                                 self.fleet.learnt)
         if target is None:
-            self.shortage.add(scope, task.step.room)
-            if site.tickets is None and not placing.fits(
+            self.unplaceable.add(scope, task.step.room)
+            if eligible.tickets is None and not placing.fits(
                     worker, task.step, self.fleet.learnt):
                 # Nor could another such run start where this one is.
                 self.fleet.no_room.add(scope, task.step.room)
         return target
 
-    def _stalled(self, task: progress.TaskState) -> bool:
+    def _is_stalled(self, task: progress.TaskState) -> bool:
         if task.phase != progress.RUNNING or task.step.gang:
             return False
         return pacer.stalls(task) and (
-            task.stuck or self.now - task.slowed_at >= STALLED_S)
+            task.stuck or self.now - task.slowed_at >= MOVE_STALLED_AFTER_S)
 
-    def _make_room(self, state: progress.JobState,
-                   task: progress.TaskState, site: Site) -> bool:
+    def _preempt_for(self, state: progress.JobState,
+                     task: progress.TaskState,
+                     eligible: EligibleWorkers) -> bool:
         """Stop less urgent runs for a task; tell if it can expect room."""
-        if self.coming.take(task, site.service, site.workers):
+        if self.freeing.claim(task, eligible.service, eligible.workers):
             return True
-        chosen = self._victims(state, task, site)
+        chosen = self._choose_victims(state, task, eligible)
         for victim in chosen:
             self.fleet.stop_run(victim, f"room for {task.task}")
         if chosen:
-            self.coming.stopped_for(
+            self.freeing.record_preemption(
                 task, self.fleet.workers[chosen[0].worker_id])
         return bool(chosen)
 
-    def _victims(self, state: progress.JobState, task: progress.TaskState,
-                 site: Site) -> list[progress.TaskState]:
+    def _choose_victims(self, state: progress.JobState,
+                        task: progress.TaskState,
+                        eligible: EligibleWorkers) -> list[progress.TaskState]:
         """Return less urgent runs whose stop makes room for a task."""
         priority = ordering.priority(state, self.queues)
-        scope = dataclasses.replace(site.scope(task), priority=priority)
-        workers = site.workers
-        remembers = (site.tickets is None and not task.step.perpetual
-                     and self.policy.remember_shortage)
-        if remembers:
-            workers = self.fleet.no_victims.untried(scope, task.step.room,
-                                                    workers)
-        chosen = placing.victims(task, site.service, priority, workers,
-                                 self._task_priority)
-        if remembers and not chosen:
+        scope = dataclasses.replace(eligible.scope(task), priority=priority)
+        workers = eligible.workers
+        remember_searches = (eligible.tickets is None
+                             and not task.step.perpetual
+                             and self.policy.remember_shortage)
+        if remember_searches:
+            workers = self.fleet.no_victims.workers_to_search(scope,
+                                                              task.step.room,
+                                                              workers)
+        chosen = placing.choose_victims(task, eligible.service, priority,
+                                        workers,
+                                        self._task_priority)
+        if remember_searches and not chosen:
             self.fleet.no_victims.add(scope, task.step.room)
         return chosen
 
@@ -473,7 +507,7 @@
     """Start every task whose turn has come and that has room."""
     with fleet.lock:
         fleet.changed = False
-        fleet.demand.begin(now)
+        fleet.demand.start_observing(now)
         fleet.trials.review(fleet.workers, now)
         configuration = fleet.configuration()
         queues = configuration.by_name()
@@ -482,10 +516,10 @@
             fleet.placed_with = configuration.version
             fleet.no_room.clear()
             fleet.no_victims.clear()
-        ranked = ordering.ranked(
+        ranked = ordering.sort_jobs(
             (state for state in fleet.active.values() if not state.quiet),
             queues, wall_ms, now, fleet.policy.rank_by_lateness)
-        round_ = Round(fleet, queues, _usable(fleet, now), now)
+        round_ = Round(fleet, queues, _usable_workers(fleet, now), now)
         for state in ranked:
             if state.created <= fleet.fence and fleet.unheard:
                 continue
@@ -493,30 +527,30 @@
                 continue
             _place_job(round_, state, wall_ms)
         if fleet.policy.move_stalled_runs:
-            round_.move_stalled()
+            round_.move_one_stalled_run()
         round_.finish()
 
 
-def _usable(fleet: state_mod.FleetState, now: float
-            ) -> list[workerstate.WorkerState]:
+def _usable_workers(fleet: state_mod.FleetState, now: float
+                    ) -> list[workerstate.WorkerState]:
     """Return the workers that may get new runs, and note the new ones.
 
     With an old list none may: the room of any may have shrunk since.
     """
-    usable = []
+    usable_workers = []
     list_is_new = now - fleet.listed_at <= state_mod.LIST_OLD_S
     for worker_id, worker in fleet.workers.items():
         is_usable = (list_is_new and worker.usable(now)
                      and worker_id not in fleet.trials.by_worker)
         if is_usable:
-            usable.append(worker)
+            usable_workers.append(worker)
             if not worker.was_usable:
                 worker.touch()
         worker.was_usable = is_usable
-    return usable
+    return usable_workers
 
 
-def _note_arrival(round_: Round, state: progress.JobState) -> None:
+def _record_arrival(round_: Round, state: progress.JobState) -> None:
     """Learn from a job whose turn has come what comes how often."""
     state.seen_at = round_.now
     if state.created > round_.fleet.fence:
@@ -537,7 +571,7 @@
             waits = True
             break
         if not state.seen_at:
-            _note_arrival(round_, state)
+            _record_arrival(round_, state)
         state.occurrence(occurrence)
         for step in range(len(state.job.steps)):
             waits |= round_.place_step(state, occurrence, step)
--- a/sycamorefield/fleet/state.py
+++ b/sycamorefield/fleet/state.py
@@ -16,10 +16,10 @@
 from sycamorefield.fleet import interference
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import pacer
+from sycamorefield.fleet import placement_cache
 from sycamorefield.fleet import policy as policy_mod
 from sycamorefield.fleet import progress
 from sycamorefield.fleet import runlog
-from sycamorefield.fleet import shortage
 from sycamorefield.fleet import trials
 from sycamorefield.fleet import workerstate
 
@@ -93,8 +93,8 @@
         self.advice = advice.AdviceBook(None)
         self.advice.answered = self._answered
         # What found no room, and what found no runs to stop for room.
-        self.no_room = shortage.Misses()
-        self.no_victims = shortage.Misses()
+        self.no_room = placement_cache.SearchCache()
+        self.no_victims = placement_cache.SearchCache()
         # The version of the configuration that the last round went by.
         self.placed_with = 0
         self.changed = False
--- a/sycamorefield/fleet/usage.py
+++ b/sycamorefield/fleet/usage.py
@@ -67,8 +67,9 @@
         workers = [w for w in fleet.workers.values() if w.listed]
         capacity = sum(w.entry.capacity.cpu for w in workers)
         memory = sum(w.entry.capacity.mem_mb for w in workers)
-        kept = fleet.demand.most_room(capacity, now)
-        ahead = fleet.demand.ahead(capacity, now)
+        kept = fleet.demand.total_kept_cpu(capacity, now)
+        kept_for_new_jobs_cpu = fleet.demand.kept_for_new_jobs_cpu(
+            capacity, now)
         return Usage(
             capacity / 1000.0, sum(w.used.cpu for w in workers) / 1000.0,
             sum(w.used.mem_mb for w in workers) / max(1, memory),
@@ -78,7 +79,7 @@
             sum(1 for w in fleet.workers.values() if w.silent),
             len(fleet.unheard), len(fleet.trials.by_worker),
             sum(w.lasting_cpu for w in workers) / 1000.0,
-            kept / 1000.0, ahead / 1000.0, waiting, len(down),
+            kept / 1000.0, kept_for_new_jobs_cpu / 1000.0, waiting, len(down),
             round(down_s, 3),
             max((t.step.room.cpu for t in down), default=0) / 1000.0)
 
--- a/tests/test_fleet_headroom.py
+++ b/tests/test_fleet_headroom.py
@@ -184,14 +184,14 @@
 
 def test_lasting_work_of_a_higher_priority_is_not_held_back():
     learnt = demand.Demand()
-    learnt.begin(-1e6)
-    learnt.faded = 0.0
+    learnt.start_observing(-1e6)
+    learnt.decayed_at = 0.0
     step = messages.Step(8, messages.Room(3000, 10), estimate_ms=900)
     for n in range(100):
         learnt.add_job(fleetfakes.job(f"s{n}", step, priority=2), 0.3 * n)
     capacity = 1e6
-    assert learnt.room(0, capacity, 30.0) < 1.0
-    assert learnt.room(2, capacity, 30.0) > 50_000
+    assert learnt.kept_cpu(0, capacity, 30.0) < 1.0
+    assert learnt.kept_cpu(2, capacity, 30.0) > 50_000
 
 
 @pytest.mark.parametrize(("per_s", "count", "seconds", "least", "most"), [
@@ -204,23 +204,23 @@
 def test_room_follows_rate_width_and_run_time(per_s, count, seconds, least,
                                               most):
     learnt = demand.Demand()
-    learnt.begin(-1e6)
-    learnt.faded = 0.0
+    learnt.start_observing(-1e6)
+    learnt.decayed_at = 0.0
     step = messages.Step(count, messages.Room(3000, 10), estimate_ms=1000)
     learnt.add_run("checks", seconds)
     for n in range(int(120 * per_s)):
         learnt.add_job(fleetfakes.job(f"s{n}", step), n / per_s)
-    assert least <= learnt.room(0, 1e9, 120.0) / 1000.0 <= most
+    assert least <= learnt.kept_cpu(0, 1e9, 120.0) / 1000.0 <= most
 
 
 def test_room_kept_is_bounded_and_forgotten():
     learnt = demand.Demand()
-    learnt.begin(0.0)
+    learnt.start_observing(0.0)
     step = messages.Step(36, messages.Room(9000, 10), estimate_ms=9000)
     for n in range(200):
         learnt.add_job(fleetfakes.job(f"s{n}", step), 0.01 * n)
-    assert learnt.room(0, 1e6, 2.0) == demand.MOST_SHARE * 1e6
-    assert learnt.room(0, 1e6, 2.0 + 20 * demand.HALF_LIFE_S) < 0.01 * 1e6
+    assert learnt.kept_cpu(0, 1e6, 2.0) == demand.MAX_SHARE * 1e6
+    assert learnt.kept_cpu(0, 1e6, 2.0 + 20 * demand.HALF_LIFE_S) < 0.01 * 1e6
 
 
 def test_a_fleet_with_much_room_holds_nothing_back():
@@ -230,8 +230,8 @@
     wide = messages.Step(8, messages.Room(30_000, 10), estimate_ms=9000)
     learnt.add_job(fleetfakes.job("s", wide), 1.0)
     room = headroom.Headroom(workers, learnt, 0, 1.0)
-    assert room.allowed(
-        headroom.Part.REST, LASTING, workers) == workers
+    assert room.allowed_workers(
+        headroom.RequiredHeadroom.ALL, LASTING, workers) == workers
 
 
 @pytest.mark.parametrize(("created", "known"), [(5, False), (20, True)],
@@ -257,9 +257,9 @@
 def test_room_ahead_follows_how_often_lasting_jobs_come(gap_s, least, most):
     """Count lasting jobs that come together once: they tell no rate."""
     learnt = demand.Demand()
-    learnt.begin(0.0)
+    learnt.start_observing(0.0)
     for n in range(30):
         learnt.add_job(fleetfakes.job(f"l{n}", LASTING), gap_s * n)
     majority = 4 * LASTING.room.cpu
     now = 29.5 * gap_s if gap_s else 30.0
-    assert least <= learnt.ahead(1e9, now) / majority <= most
+    assert least <= learnt.kept_for_new_jobs_cpu(1e9, now) / majority <= most
--- a/tests/test_fleet_ordering.py
+++ b/tests/test_fleet_ordering.py
@@ -21,10 +21,10 @@
 
 
 @pytest.mark.parametrize(("waited_ms", "first_done", "expected"), [
-    (0, False, ordering.IN_TIME),
-    (4000, False, ordering.IN_TIME),
+    (0, False, ordering.ON_TIME),
+    (4000, False, ordering.ON_TIME),
     (4001, False, ordering.LATE),
-    (4250, True, ordering.IN_TIME),
+    (4250, True, ordering.ON_TIME),
     (13_000, False, ordering.LATE),
     (13_001, False, ordering.TOO_LATE),
 ])
@@ -41,7 +41,7 @@
     late = state("late", 0.0, created=1)
     fresh = state("fresh", 9000.0, created=3)
     older = state("older", 8000.0, created=2)
-    order = ordering.ranked(
+    order = ordering.sort_jobs(
         [lasting, late, fresh, older], QUEUES, 10_000.0, 100.0)
     assert [s.job.job_id for s in order] == ["older", "fresh", "late",
                                              "lasting"]
@@ -52,7 +52,7 @@
         "renewals", "h", "/r/", "desk", 2, 2, stretch=2.0, slo_ms=500.0)}
     late = state("late", 0.0)
     patient = state("patient", 10_000.0, queue="renewals")
-    order = ordering.ranked([patient, late], queues, 10_000.0, 100.0)
+    order = ordering.sort_jobs([patient, late], queues, 10_000.0, 100.0)
     assert [s.job.job_id for s in order] == ["late", "patient"]
 
 
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize(("down_s", "expected"), [
     (0.0, ["fresh", "hopeless", "new", "down"]),
-    (ordering.DOWN_S, ["down", "fresh", "hopeless", "new"]),
+    (ordering.BOOST_AFTER_DOWN_S, ["down", "fresh", "hopeless", "new"]),
 ], ids=["just-now", "for-seconds"])
 def test_an_interrupted_lasting_job_goes_before_short_ones(down_s, expected):
     """Restart a lasting task before short tasks take its room for ever.
@@ -79,6 +79,6 @@
     """
     jobs = [state("fresh", 19_000.0, created=1), state("hopeless", 0.0),
             lasting_job("new", 2, False), lasting_job("down", 3, True)]
-    ordering.ranked(jobs, QUEUES, 20_000.0, 100.0)
-    order = ordering.ranked(jobs, QUEUES, 20_000.0, 100.0 + down_s)
+    ordering.sort_jobs(jobs, QUEUES, 20_000.0, 100.0)
+    order = ordering.sort_jobs(jobs, QUEUES, 20_000.0, 100.0 + down_s)
     assert [s.job.job_id for s in order] == expected
--- a/tests/test_fleet_review.py
+++ b/tests/test_fleet_review.py
@@ -151,10 +151,10 @@
         answers.rejected(bench.state, worker_id, order, fate, bench.now)
     state = bench.state.jobs["lasting"]
     for late_s in (0.0, 0.5):
-        bench.now = down_at + ordering.DOWN_S + late_s
+        bench.now = down_at + ordering.BOOST_AFTER_DOWN_S + late_s
         rounds.place(bench.state, bench.now, 0)
         assert state.tasks[0, 0][0].phase == progress.IDLE
-    assert ordering.interrupted(state, bench.now)
+    assert ordering.is_interrupted(state, bench.now)
 
 
 @pytest.mark.parametrize("long_ms", [20_000, 60_000])
@@ -223,7 +223,7 @@
     lasting.not_before = bench.now + 4.0
     assert len(bench.place()) == 8
     lasting.not_before = 0.0
-    bench.now += ordering.DOWN_S + 0.5
+    bench.now += ordering.BOOST_AFTER_DOWN_S + 0.5
     numbers = {"i-0": 1, "i-1": 1}
 
     def end(worker_id: str) -> None:
--- a/tests/test_fleet_starvation.py
+++ b/tests/test_fleet_starvation.py
@@ -85,7 +85,7 @@
         if any(name.startswith("lasting") for name in placed):
             break
     assert stream.bench.now < down_at + LOST_AFTER_S
-    assert stream.bench.now >= down_at + ordering.DOWN_S
+    assert stream.bench.now >= down_at + ordering.BOOST_AFTER_DOWN_S
 
 
 def test_short_tasks_go_on_where_no_gap_is_kept():
@@ -99,5 +99,5 @@
     counts = [0, 0]
     while stream.bench.now < begun + LOST_AFTER_S:
         for name in stream.step():
-            counts[stream.bench.now > begun + ordering.DOWN_S] += 1
+            counts[stream.bench.now > begun + ordering.BOOST_AFTER_DOWN_S] += 1
     assert counts[1] > counts[0] / 2
