--- a/bench/urgent_room.py
+++ b/bench/urgent_room.py
@@ -16,30 +16,30 @@
 from tests import test_fleet_headroom  # noqa: E402
 
 RATES = (0.0, 0.5, 2.0, 4.0)
-LASTING_JOBS = 18
-BEFORE_S = 5.0
+LONG_RUNNING_JOBS = 18
+WARM_UP_S = 5.0
 
 
-def measure(per_s: float, policy: policy_mod.Policy) -> None:
+def measure(urgent_per_s: float, policy: policy_mod.Policy) -> None:
     """Print what urgent and lasting jobs get at a rate of urgent ones."""
-    fleet = test_fleet_headroom.Fleet(LASTING_JOBS, policy)
-    fleet.run(BEFORE_S)
-    fleet.run(test_fleet_headroom.LOAD_S, per_s)
-    lasting = len(fleet.lasting_tasks())
-    room = "kept" if policy.keep_room_for_short_work else "none"
-    urgent = "none came"
-    if fleet.jobs:
-        urgent = (f"{fleet.late()} of {fleet.jobs} late, "
-                  f"p95 of the first start {fleet.p95_s():.1f} s")
-    print(f"{per_s:.1f} urgent jobs/s, room {room}: {urgent}; "
-          f"{lasting} lasting tasks at work")
+    fleet = test_fleet_headroom.SimulatedFleet(LONG_RUNNING_JOBS, policy)
+    fleet.run(WARM_UP_S)
+    fleet.run(test_fleet_headroom.URGENT_LOAD_S, urgent_per_s)
+    long_running_tasks = len(fleet.long_running_placements())
+    headroom_label = "kept" if policy.keep_room_for_short_work else "none"
+    urgent_result = "none came"
+    if fleet.urgent_jobs:
+        urgent_result = (f"{fleet.late_count()} of {fleet.urgent_jobs} late, "
+                         f"p95 of the first start {fleet.p95_start_s():.1f} s")
+    print(f"{urgent_per_s:.1f} urgent jobs/s, room {headroom_label}: "
+          f"{urgent_result}; {long_running_tasks} lasting tasks at work")
 
 
 def main() -> int:
     """Measure each rate without and with room kept."""
-    for per_s in RATES:
+    for urgent_per_s in RATES:
         for policy in (fleetfakes.NO_ROOM_KEPT, policy_mod.Policy()):
-            measure(per_s, policy)
+            measure(urgent_per_s, policy)
     return 0
 
 
--- a/sycamorefield/fleet/demand.py
+++ b/sycamorefield/fleet/demand.py
@@ -58,13 +58,13 @@
         self.squared_cpu_s *= factor
         self.weighted_task_cpu_s *= factor
 
-    def add(self, step: messages.Step, seconds: float) -> None:
+    def add(self, step: messages.Step, run_s: float) -> None:
         """Add a step whose tasks take so many seconds."""
         cpu = float(step.room.cpu)
         step_cpu = cpu * step.count
-        self.cpu_s += step_cpu * seconds
-        self.squared_cpu_s += step_cpu * step_cpu * seconds
-        self.weighted_task_cpu_s += cpu * step_cpu * seconds
+        self.cpu_s += step_cpu * run_s
+        self.squared_cpu_s += step_cpu * step_cpu * run_s
+        self.weighted_task_cpu_s += cpu * step_cpu * run_s
 
 
 @dataclasses.dataclass(slots=True)
@@ -97,7 +97,7 @@
     return not step.perpetual and not step.fills
 
 
-class Demand:
+class DemandEstimator:
     """Learn what short work of each priority needs."""
 
     def __init__(self) -> None:
@@ -137,9 +137,9 @@
             self.batches += 1.0
             self.last_batch_at = now
 
-    def add_run(self, queue: str, seconds: float) -> None:
+    def add_run(self, queue: str, run_s: float) -> None:
         """Note how long a short task of a queue ran until it was done."""
-        self.run_times.setdefault(queue, RecentMean()).add(seconds)
+        self.run_times.setdefault(queue, RecentMean()).add(run_s)
 
     def _expected_run_s(self, queue: str, step: messages.Step) -> float:
         """Return the mean run time seen; estimates are up to 90% off."""
@@ -155,37 +155,38 @@
         for arrivals in self.arrivals.values():
             arrivals.decay(factor)
 
-    def kept_cpu(self, priority: int, capacity: float, now: float) -> float:
+    def kept_cpu(self, priority: int, capacity_cpu: float,
+                 now: float) -> float:
         """Return processors to keep for work of a priority or a higher one.
 
         All in thousandths of a core.
         """
         cpu_s = squared_cpu_s = 0.0
         factor = 0.5 ** ((now - self.decayed_at) / HALF_LIFE_S)
-        for level, arrivals in self.arrivals.items():
-            if level <= priority:
+        for arrival_priority, arrivals in self.arrivals.items():
+            if arrival_priority <= priority:
                 cpu_s += arrivals.cpu_s * factor
                 squared_cpu_s += arrivals.squared_cpu_s * factor
         observed_s = self._observed_s(now)
-        learnt = (cpu_s / observed_s
-                  + HEADROOM_DEVIATIONS
-                  * math.sqrt(squared_cpu_s / observed_s))
-        first = (INITIAL_SHARE * capacity
-                 * 0.5 ** (self._age_s(now) / INITIAL_HALF_LIFE_S))
-        return min(MAX_SHARE * capacity, max(first, learnt))
-
-    def total_kept_cpu(self, capacity: float, now: float) -> float:
+        expected_cpu = (cpu_s / observed_s
+                        + HEADROOM_DEVIATIONS
+                        * math.sqrt(squared_cpu_s / observed_s))
+        initial_cpu = (INITIAL_SHARE * capacity_cpu
+                       * 0.5 ** (self._age_s(now) / INITIAL_HALF_LIFE_S))
+        return min(MAX_SHARE * capacity_cpu, max(initial_cpu, expected_cpu))
+
+    def total_kept_cpu(self, capacity_cpu: float, now: float) -> float:
         """Return the room kept for work of all priorities together."""
-        return self.kept_cpu(max(self.arrivals, default=0), capacity, now)
+        return self.kept_cpu(max(self.arrivals, default=0), capacity_cpu, now)
 
-    def kept_for_new_jobs_cpu(self, capacity: float, now: float) -> float:
+    def kept_for_new_jobs_cpu(self, capacity_cpu: float, now: float) -> float:
         """Return processors to keep for lasting jobs that are to come.
 
         Enough for a majority of their tasks, in thousandths of a core.
         """
         factor = 0.5 ** ((now - self.decayed_at) / HALF_LIFE_S)
         rate = self.batches * factor / self._observed_s(now)
-        return min(MAX_NEW_JOBS_SHARE * capacity,
+        return min(MAX_NEW_JOBS_SHARE * capacity_cpu,
                    rate * NEW_JOBS_LOOKAHEAD_S * self.majority_cpu.mean())
 
     def _age_s(self, now: float) -> float:
@@ -201,9 +202,9 @@
 
     def mean_task_cpu(self, priority: int) -> float:
         """Return the width of a gap that short tasks can use."""
-        levels = [a for level, a in self.arrivals.items()
-                  if level <= priority]
-        cpu_s = sum(a.cpu_s for a in levels)
+        relevant = [a for arrival_priority, a in self.arrivals.items()
+                    if arrival_priority <= priority]
+        cpu_s = sum(a.cpu_s for a in relevant)
         if not cpu_s:
             return INITIAL_TASK_CPU
-        return sum(a.weighted_task_cpu_s for a in levels) / cpu_s
+        return sum(a.weighted_task_cpu_s for a in relevant) / cpu_s
--- a/sycamorefield/fleet/headroom.py
+++ b/sycamorefield/fleet/headroom.py
@@ -67,15 +67,15 @@
     """
 
     def __init__(self, workers: list[workerstate.WorkerState],
-                 learnt: demand_mod.Demand, priority: int,
+                 estimator: demand_mod.DemandEstimator, priority: int,
                  now: float) -> None:
         self.workers = workers
         self.capacity_cpu = sum(w.entry.capacity.cpu for w in workers)
-        self.slot_cpu = max(1.0, learnt.mean_task_cpu(priority))
-        kept_cpu = learnt.kept_cpu(priority, self.capacity_cpu, now)
+        self.slot_cpu = max(1.0, estimator.mean_task_cpu(priority))
+        kept_cpu = estimator.kept_cpu(priority, self.capacity_cpu, now)
         # What is less than one gap is room for nobody.
         self.kept_cpu = kept_cpu if kept_cpu >= self.slot_cpu else 0.0
-        for_new_jobs_cpu = learnt.kept_for_new_jobs_cpu(
+        for_new_jobs_cpu = estimator.kept_for_new_jobs_cpu(
             self.capacity_cpu, now)
         self.kept_for_new_jobs_cpu = (
             for_new_jobs_cpu if for_new_jobs_cpu >= self.slot_cpu else 0.0)
@@ -109,10 +109,10 @@
 
     def _lost_slots_cpu(self, worker: workerstate.WorkerState,
                         cpu: int) -> float:
-        before = self.slots_cpu_by_worker.get(worker.entry.worker_id)
-        if before is None:
-            before = self._slots_cpu(worker, 0)
-        return before - self._slots_cpu(worker, cpu)
+        cpu_before = self.slots_cpu_by_worker.get(worker.entry.worker_id)
+        if cpu_before is None:
+            cpu_before = self._slots_cpu(worker, 0)
+        return cpu_before - self._slots_cpu(worker, cpu)
 
     def delays_remaining_tasks(self, age_s: float) -> bool:
         """Tell whether the rest of a job of an age in seconds still waits."""
--- a/sycamorefield/fleet/placing.py
+++ b/sycamorefield/fleet/placing.py
@@ -51,7 +51,7 @@
 
 
 def fits(worker: workerstate.WorkerState, step: messages.Step,
-         learnt: interference.Interference) -> bool:
+         model: interference.Interference) -> bool:
     """Tell whether a worker has the room, and gets its starts, now."""
     if not worker.takes_starts():
         return False
@@ -60,16 +60,16 @@
         return False
     if not worker.free().holds(step.reserved()):
         return False
-    if not step.fills or not learnt.limits:
+    if not step.fills or not model.limits:
         return True
     cores = step.room.cpu / 1000.0
-    return learnt.stays_below(worker.tails, step.image,
-                              cores, MAX_TAIL_LATENCY_RATIO)
+    return model.stays_below(worker.tails, step.image,
+                             cores, MAX_TAIL_LATENCY_RATIO)
 
 
 def choose(task: progress.TaskState, service: str,
            workers: typing.Iterable[workerstate.WorkerState],
-           learnt: interference.Interference
+           model: interference.Interference
            ) -> workerstate.WorkerState | None:
     """Return the best worker for a task, or None if none has room.
 
@@ -77,11 +77,11 @@
     then the most room left, so that neither racks nor workers fill unevenly.
     """
     best = None
-    best_rank: Rank = ()
+    highest_rank: Rank = ()
     for worker in workers:
-        rank = _rank(worker, task, service, learnt)
-        if rank is not None and (best is None or rank > best_rank):
-            best, best_rank = worker, rank
+        rank = _rank(worker, task, service, model)
+        if rank is not None and (best is None or rank > highest_rank):
+            best, highest_rank = worker, rank
     return best
 
 
@@ -89,15 +89,15 @@
 
 
 def _rank(worker: workerstate.WorkerState, task: progress.TaskState,
-          service: str, learnt: interference.Interference) -> Rank | None:
+          service: str, model: interference.Interference) -> Rank | None:
     """Return how well a task goes on a worker, or None if it can't."""
     step = task.step
-    if not allowed(worker, service, task) or not fits(worker, step, learnt):
+    if not allowed(worker, service, task) or not fits(worker, step, model):
         return None
     has_data_nearby = not step.affinity or step.affinity in worker.entry.labels
     not_failed_here = worker.entry.worker_id not in task.avoid
     return (not_failed_here, has_data_nearby, *
-            _packing_rank(worker, step, learnt))
+            _packing_rank(worker, step, model))
 
 
 class Ranking:
@@ -111,31 +111,31 @@
 
     def __init__(self, task: progress.TaskState, service: str,
                  workers: typing.Iterable[workerstate.WorkerState],
-                 learnt: interference.Interference) -> None:
+                 model: interference.Interference) -> None:
         self.task = task
         self.service = service
-        self.learnt = learnt
+        self.model = model
         # The best first; of equal ones the first in the order of workers.
-        self.ranked: list[tuple[Rank, int, int,
-                                workerstate.WorkerState]] = []
+        self.heap: list[tuple[Rank, int, int,
+                              workerstate.WorkerState]] = []
         for position, worker in enumerate(workers):
-            rank = _rank(worker, task, service, learnt)
+            rank = _rank(worker, task, service, model)
             if rank is not None:
-                self.ranked.append(_heap_entry(rank, position, worker))
-        heapq.heapify(self.ranked)
+                self.heap.append(_heap_entry(rank, position, worker))
+        heapq.heapify(self.heap)
 
     def best(self) -> workerstate.WorkerState | None:
         """Return the best worker as of now, or None if none has room."""
-        while self.ranked:
-            _, position, changed, worker = self.ranked[0]
+        while self.heap:
+            _, position, changed, worker = self.heap[0]
             if worker.changed == changed:
                 return worker
-            rank = _rank(worker, self.task, self.service, self.learnt)
+            rank = _rank(worker, self.task, self.service, self.model)
             if rank is None:
-                heapq.heappop(self.ranked)
+                heapq.heappop(self.heap)
             else:
                 heapq.heapreplace(
-                    self.ranked, _heap_entry(rank, position, worker))
+                    self.heap, _heap_entry(rank, position, worker))
         return None
 
 
@@ -149,9 +149,9 @@
 
 
 def _packing_rank(worker: workerstate.WorkerState, step: messages.Step,
-                  learnt: interference.Interference) -> tuple[float, ...]:
+                  model: interference.Interference) -> tuple[float, ...]:
     if step.fills:
-        harm = learnt.harm(worker.tails, step.image)
+        harm = model.harm(worker.tails, step.image)
         return (-round(harm / NEGLIGIBLE_HARM),
                 available_best_effort_cpu(worker))
     if step.target_ms:
--- a/sycamorefield/fleet/rounds.py
+++ b/sycamorefield/fleet/rounds.py
@@ -90,20 +90,20 @@
         tasks = state.tasks[occurrence, number]
         waiting = [t for t in tasks if t.phase == progress.IDLE
                    and not t.done]
-        idle = [t for t in waiting if t.not_before <= self.now]
-        if not idle:
+        startable = [t for t in waiting if t.not_before <= self.now]
+        if not startable:
             return bool(waiting)
         step = state.job.steps[number]
-        eligible = self._eligible_workers(state, idle[0])
-        suspected = [t for t in idle if t.suspicion and t.needs_trial()]
+        eligible = self._eligible_workers(state, startable[0])
+        suspected = [t for t in startable if t.suspicion and t.needs_trial()]
         if suspected:
-            self._place_suspected(state, tasks, idle, suspected, eligible)
+            self._place_suspected(state, tasks, startable, suspected, eligible)
         elif step.gang:
-            self._place_gang(state, tasks, idle, eligible)
+            self._place_gang(state, tasks, startable, eligible)
         else:
-            self._place_tasks(state, tasks, idle, eligible)
+            self._place_tasks(state, tasks, startable, eligible)
         if eligible.tickets is not None:
-            self._ask_advice(state, idle, eligible)
+            self._ask_advice(state, startable, eligible)
         return True
 
     def _ask_advice(self, state: progress.JobState,
@@ -135,15 +135,16 @@
 
     def _place_tasks(self, state: progress.JobState,
                      tasks: list[progress.TaskState],
-                     idle: list[progress.TaskState],
+                     startable: list[progress.TaskState],
                      eligible: EligibleWorkers) -> None:
         """Start the idle ones of the tasks of a step as far as room goes."""
-        keeps_headroom = (self.policy.keep_room_for_short_work
-                          and state.job.steps[idle[0].task.step].perpetual)
+        keeps_headroom = (
+            self.policy.keep_room_for_short_work
+            and state.job.steps[startable[0].task.step].perpetual)
         placed_count = headroom.placed_count(tasks) if keeps_headroom else 0
         exhausted: set[headroom.RequiredHeadroom] = set()
         self.ranking = None
-        for task in idle:
+        for task in startable:
             required = headroom.required_headroom(
                 task, placed_count, self.policy.spread_lasting_jobs)
             if (keeps_headroom
@@ -325,10 +326,10 @@
 
     def _place_gang(self, state: progress.JobState,
                     tasks: list[progress.TaskState],
-                    idle: list[progress.TaskState],
+                    startable: list[progress.TaskState],
                     eligible: EligibleWorkers) -> None:
         """Start all members at once with one run number, or none."""
-        if len(idle) < len(tasks):
+        if len(startable) < len(tasks):
             return
         run = max(state.next_run(t) for t in tasks)
         chosen = gangs.choose(tasks, eligible.service, eligible.workers)
@@ -339,17 +340,17 @@
 
     def _place_suspected(self, state: progress.JobState,
                          tasks: list[progress.TaskState],
-                         idle: list[progress.TaskState],
+                         startable: list[progress.TaskState],
                          suspected: list[progress.TaskState],
                          eligible: EligibleWorkers) -> None:
         """Try the suspected tasks of a step apart, and start the others."""
         if tasks[0].step.gang:
-            if len(idle) == len(tasks):
+            if len(startable) == len(tasks):
                 self._place_in_quarantine(state, tasks, eligible)
             return
         for task in suspected:
             self._place_in_quarantine(state, [task], eligible)
-        others = [task for task in idle if task not in suspected]
+        others = [task for task in startable if task not in suspected]
         if others:
             self._place_tasks(state, tasks, others, eligible)
 
@@ -357,32 +358,34 @@
                              tasks: list[progress.TaskState],
                              eligible: EligibleWorkers) -> None:
         """Start suspected tasks where a crash could only come from them."""
-        trial = self.fleet.trials.by_task.get(tasks[0].task)
-        if trial is None:
+        quarantine = self.fleet.trials.by_task.get(tasks[0].task)
+        if quarantine is None:
             self._quarantine_workers(state, tasks, eligible)
             return
         workers = self.fleet.workers
-        if trial.run or trial.inherited:
+        if quarantine.run or quarantine.inherited:
             return
-        if not trials.is_ready(trial, workers, self.now):
+        if not trials.is_ready(quarantine, workers, self.now):
             return
-        if not trials.fits(trial, workers, eligible.service, eligible.tickets):
-            self.fleet.trials.remove(trial, "no room or not allowed")
+        if not trials.fits(quarantine, workers, eligible.service,
+                           eligible.tickets):
+            self.fleet.trials.remove(quarantine, "no room or not allowed")
             return
-        self._start_quarantine_run(trial, eligible)
+        self._start_quarantine_run(quarantine, eligible)
 
-    def _start_quarantine_run(self, trial: trials.Trial,
+    def _start_quarantine_run(self, quarantine: trials.Trial,
                               eligible: EligibleWorkers) -> None:
-        state = trial.job
-        trial.run = max(state.next_run(task) for task, _ in trial.members)
-        saved = max(task.saved for task, _ in trial.members)
+        state = quarantine.job
+        quarantine.run = max(state.next_run(task)
+                             for task, _ in quarantine.members)
+        saved = max(task.saved for task, _ in quarantine.members)
         events.emit(events.TRIAL_BEGUN, runs=[
-            (str(task.task), trial.run, worker_id)
-            for task, worker_id in trial.members])
-        for task, worker_id in trial.members:
+            (str(task.task), quarantine.run, worker_id)
+            for task, worker_id in quarantine.members])
+        for task, worker_id in quarantine.members:
             task.saved = saved
             worker = self.fleet.workers[worker_id]
-            self.fleet.start(state, task, worker, trial.run,
+            self.fleet.start(state, task, worker, quarantine.run,
                              eligible.ticket(worker))
 
     def _quarantine_workers(self, state: progress.JobState,
--- a/sycamorefield/fleet/state.py
+++ b/sycamorefield/fleet/state.py
@@ -87,7 +87,7 @@
         self.leased_until = math.inf
         self.learnt = interference.Interference(
             policy.learn_weights, policy.limit_tails, policy.follow_slopes)
-        self.demand = demand.Demand()
+        self.demand = demand.DemandEstimator()
         self.pacer = pacer.Pacer(self.learnt, send, policy.pace_filling)
         self.run_log = runlog.RunLog()
         self.advice = advice.AdviceBook(None)
--- a/tests/test_fleet_headroom.py
+++ b/tests/test_fleet_headroom.py
@@ -15,82 +15,87 @@
 
 WORKERS = 20
 CAPACITY = messages.Room(32_000, 128_000)
-LASTING = messages.Step(6, messages.Room(6400, 13_000), perpetual=True)
+LONG_RUNNING_STEP = messages.Step(6, messages.Room(6400, 13_000),
+                                  perpetual=True)
 # An urgent task is to start within this.
-URGENT_S = 1.1
-SHORT_S = 0.6
-LOAD_S = 30.0
+URGENT_START_LIMIT_S = 1.1
+URGENT_RUN_S = 0.6
+URGENT_LOAD_S = 30.0
 
 
-class Fleet:
+class SimulatedFleet:
     """Let lasting jobs fill a fleet, then urgent jobs come at a rate."""
 
-    def __init__(self, lasting_jobs: int,
+    def __init__(self, long_running_jobs: int,
                  policy: policy_mod.Policy = policy_mod.Policy()) -> None:
         self.bench = test_fleet_state.Bench(*(
             fleetfakes.entry(n, capacity=CAPACITY) for n in range(WORKERS)),
             policy=policy)
         self.rng = random.Random(5)
-        self.ends: list[tuple[float, str]] = []
-        self.numbers: dict[str, int] = {}
-        self.came: dict[str, float] = {}
-        self.waits: dict[str, float] = {}
-        self.jobs = 0
-        self.placed: list[str] = []
-        for n in range(lasting_jobs):
-            self.bench.add(fleetfakes.job(f"lasting{n}", LASTING), 20 + n)
-
-    def run(self, seconds: float, per_s: float = 0.0) -> None:
+        self.run_ends: list[tuple[float, str]] = []
+        self.last_end_numbers: dict[str, int] = {}
+        self.arrived_at: dict[str, float] = {}
+        self.start_waits_s: dict[str, float] = {}
+        self.urgent_jobs = 0
+        self.placements: list[str] = []
+        for n in range(long_running_jobs):
+            self.bench.add(fleetfakes.job(f"lasting{n}", LONG_RUNNING_STEP),
+                           20 + n)
+
+    def run(self, seconds: float, urgent_per_s: float = 0.0) -> None:
         until = self.bench.now + seconds
         while self.bench.now < until:
-            if self.rng.random() < per_s * 0.1:
-                self.urgent()
-            for where in self.bench.place():
-                self.placed.append(where)
-                if where.startswith("urgent"):
-                    job = where.split(".")[0]
-                    self.waits.setdefault(
-                        job, self.bench.now - self.came[job])
-                    self.ends.append((self.bench.now + SHORT_S, where))
-            self.end_short()
-
-    def urgent(self) -> None:
-        self.jobs += 1
-        job = f"urgent{self.jobs}"
-        self.came[job] = self.bench.now
+            if self.rng.random() < urgent_per_s * 0.1:
+                self.add_urgent_job()
+            for placement in self.bench.place():
+                self.placements.append(placement)
+                if placement.startswith("urgent"):
+                    job = placement.split(".")[0]
+                    self.start_waits_s.setdefault(
+                        job, self.bench.now - self.arrived_at[job])
+                    self.run_ends.append((self.bench.now + URGENT_RUN_S,
+                                          placement))
+            self.end_finished_runs()
+
+    def add_urgent_job(self) -> None:
+        self.urgent_jobs += 1
+        job = f"urgent{self.urgent_jobs}"
+        self.arrived_at[job] = self.bench.now
         step = messages.Step(
             self.rng.randint(1, 11),
             messages.Room(self.rng.randint(1500, 4500), 6000),
-            estimate_ms=int(SHORT_S * 1000))
-        self.bench.add(fleetfakes.job(job, step), 200 + self.jobs)
+            estimate_ms=int(URGENT_RUN_S * 1000))
+        self.bench.add(fleetfakes.job(job, step), 200 + self.urgent_jobs)
 
-    def end_short(self) -> None:
-        for at, where in list(self.ends):
+    def end_finished_runs(self) -> None:
+        for at, placement in list(self.run_ends):
             if self.bench.now < at:
                 continue
-            self.ends.remove((at, where))
-            task, worker = where.split("@")
-            number = self.numbers.get(worker, 0) + 1
-            self.numbers[worker] = number
+            self.run_ends.remove((at, placement))
+            task, worker = placement.split("@")
+            number = self.last_end_numbers.get(worker, 0) + 1
+            self.last_end_numbers[worker] = number
             clock = self.bench.now
             self.bench.end(worker, task, number, messages.DONE)
             self.bench.now = clock
 
-    def lasting_tasks(self) -> list[str]:
-        return [p for p in self.placed if p.startswith("lasting")]
+    def long_running_placements(self) -> list[str]:
+        return [p for p in self.placements if p.startswith("lasting")]
 
-    def p95_s(self) -> float:
+    def p95_start_s(self) -> float:
         """Return within what time 95 of 100 urgent jobs begin."""
-        waits = sorted(self.waits.get(job, LOAD_S) for job in self.came)
-        return waits[int(0.95 * len(waits))]
+        start_waits_s = sorted(self.start_waits_s.get(job, URGENT_LOAD_S)
+                               for job in self.arrived_at)
+        return start_waits_s[int(0.95 * len(start_waits_s))]
 
-    def late(self) -> int:
+    def late_count(self) -> int:
         """Return how many urgent jobs did not begin in time."""
-        return sum(1 for job in self.came
-                   if self.waits.get(job, LOAD_S) > URGENT_S)
+        return sum(1 for job in self.arrived_at
+                   if self.start_waits_s.get(job, URGENT_LOAD_S)
+                   > URGENT_START_LIMIT_S)
 
 
-def test_urgent_jobs_begin_in_time_on_a_fleet_that_lasting_jobs_fill():
+def test_urgent_jobs_start_on_time_beside_long_running_jobs():
     """Keep the room that urgent short work needs free of lasting tasks.
 
     Symptom: on a day without any fault, urgent jobs waited 9 s for their
@@ -101,15 +106,15 @@
     Evidence: without the room kept all 61 urgent jobs of this load begin late,
     with it none (p95 of the first start 0.5 s).
     """
-    fleet = Fleet(lasting_jobs=18)
+    fleet = SimulatedFleet(long_running_jobs=18)
     fleet.run(5.0)
-    fleet.run(LOAD_S, per_s=2.0)
-    assert fleet.jobs > 40
-    assert fleet.late() <= 0.05 * fleet.jobs
+    fleet.run(URGENT_LOAD_S, urgent_per_s=2.0)
+    assert fleet.urgent_jobs > 40
+    assert fleet.late_count() <= 0.05 * fleet.urgent_jobs
 
 
-@pytest.mark.parametrize("late", [0, 1])
-def test_every_lasting_job_has_most_of_its_tasks_at_work(late):
+@pytest.mark.parametrize("later_jobs", [0, 1])
+def test_every_long_running_job_gets_a_majority_of_its_tasks(later_jobs):
     """Leave no lasting job with few tasks while others have all of theirs.
 
     Symptom: users of two lasting jobs were not served at all for half a
@@ -117,37 +122,38 @@
     jobs took all of their tasks in the order in which they came, and those
     that came last found nothing.
     """
-    fleet = Fleet(lasting_jobs=18 - late)
+    fleet = SimulatedFleet(long_running_jobs=18 - later_jobs)
     fleet.run(5.0)
-    for n in range(18 - late, 18):
-        fleet.bench.add(fleetfakes.job(f"lasting{n}", LASTING), 20 + n)
+    for n in range(18 - later_jobs, 18):
+        fleet.bench.add(fleetfakes.job(f"lasting{n}", LONG_RUNNING_STEP),
+                        20 + n)
     fleet.run(2.0)
     counts = collections.Counter(
-        p.split(".")[0] for p in fleet.lasting_tasks())
+        p.split(".")[0] for p in fleet.long_running_placements())
     assert min(counts[f"lasting{n}"] for n in range(18)) >= 4
 
 
-def test_no_room_stays_idle_for_long_where_no_short_work_comes():
-    fleet = Fleet(lasting_jobs=17)
+def test_kept_capacity_is_released_without_finite_tasks():
+    fleet = SimulatedFleet(long_running_jobs=17)
     fleet.run(1.0)
-    first = len(fleet.lasting_tasks())
+    first = len(fleet.long_running_placements())
     fleet.run(300.0)
-    assert first < len(fleet.lasting_tasks())
+    assert first < len(fleet.long_running_placements())
     # Four tasks fill a worker but for 6.4 of its 32 cores, which a fifth
     # takes once no room is kept.
-    assert len(fleet.lasting_tasks()) == 5 * WORKERS
+    assert len(fleet.long_running_placements()) == 5 * WORKERS
 
 
-def test_a_lasting_task_that_ran_takes_the_room_kept():
+def test_long_running_task_that_ran_may_use_kept_capacity():
     """Let a lasting task come back at once: its users notice its absence."""
-    fleet = Fleet(lasting_jobs=18)
+    fleet = SimulatedFleet(long_running_jobs=18)
     fleet.run(1.0)
-    task, worker = fleet.lasting_tasks()[0].split("@")
+    task, worker = fleet.long_running_placements()[0].split("@")
     fleet.bench.end(worker, task, 1, "lapsed")
     assert any(p.startswith(task) for p in fleet.bench.place())
 
 
-def test_a_task_that_ran_comes_back_though_others_of_its_step_wait():
+def test_interrupted_task_restarts_while_other_tasks_of_its_step_wait():
     """Try each task of a lasting step: only new ones have to leave room.
 
     Symptom would be a lasting task that stays down beside free room.  Events
@@ -155,12 +161,12 @@
     index that did loses its worker.  Cause would be to stop at the first
     task of a step that finds no room.
     """
-    fleet = Fleet(lasting_jobs=18)
+    fleet = SimulatedFleet(long_running_jobs=18)
     fleet.run(3.0)
     counts = collections.Counter(
-        p.split(".")[0] for p in fleet.lasting_tasks())
+        p.split(".")[0] for p in fleet.long_running_placements())
     job = min(counts, key=lambda name: counts[name])
-    assert counts[job] < LASTING.count
+    assert counts[job] < LONG_RUNNING_STEP.count
     state = fleet.bench.state.jobs[job]
     first, last = state.tasks[0, 0][0], state.tasks[0, 0][-1]
     # As if the one with the highest index had run in place of the first.
@@ -169,29 +175,29 @@
     assert any(p.startswith(str(last.task)) for p in fleet.bench.place())
 
 
-def test_less_urgent_runs_give_way_to_a_lasting_task():
+def test_long_running_task_preempts_lower_priority_runs():
     """Let lasting work of a higher priority take the room of patient work."""
     bench = test_fleet_state.Bench(*(
         fleetfakes.entry(n, capacity=CAPACITY) for n in range(4)))
     bench.add(fleetfakes.job("patient", messages.Step(
         16, messages.Room(8000, 10)), queue="renewals", priority=2))
     bench.place()
-    bench.add(fleetfakes.job("lasting", LASTING), 21)
+    bench.add(fleetfakes.job("lasting", LONG_RUNNING_STEP), 21)
     bench.place()
-    stopped = bench.stops()
-    assert stopped and all(name.startswith("patient") for name in stopped)
+    victims = bench.stops()
+    assert victims and all(name.startswith("patient") for name in victims)
 
 
-def test_lasting_work_of_a_higher_priority_is_not_held_back():
-    learnt = demand.Demand()
-    learnt.start_observing(-1e6)
-    learnt.decayed_at = 0.0
+def test_no_capacity_is_kept_for_lower_priority_tasks():
+    estimator = demand.DemandEstimator()
+    estimator.start_observing(-1e6)
+    estimator.decayed_at = 0.0
     step = messages.Step(8, messages.Room(3000, 10), estimate_ms=900)
     for n in range(100):
-        learnt.add_job(fleetfakes.job(f"s{n}", step, priority=2), 0.3 * n)
+        estimator.add_job(fleetfakes.job(f"s{n}", step, priority=2), 0.3 * n)
     capacity = 1e6
-    assert learnt.kept_cpu(0, capacity, 30.0) < 1.0
-    assert learnt.kept_cpu(2, capacity, 30.0) > 50_000
+    assert estimator.kept_cpu(0, capacity, 30.0) < 1.0
+    assert estimator.kept_cpu(2, capacity, 30.0) > 50_000
 
 
 @pytest.mark.parametrize(("per_s", "count", "seconds", "least", "most"), [
@@ -201,42 +207,44 @@
     (0.1, 30, 1.0, 9.0, 60.0),
     (0.0, 1, 1.0, 0.0, 0.1),
 ], ids=["narrow", "wide", "rare-and-wide", "none"])
-def test_room_follows_rate_width_and_run_time(per_s, count, seconds, least,
-                                              most):
-    learnt = demand.Demand()
-    learnt.start_observing(-1e6)
-    learnt.decayed_at = 0.0
+def test_kept_capacity_depends_on_arrival_rate_task_count_and_run_time(
+        per_s, count, seconds, least, most):
+    estimator = demand.DemandEstimator()
+    estimator.start_observing(-1e6)
+    estimator.decayed_at = 0.0
     step = messages.Step(count, messages.Room(3000, 10), estimate_ms=1000)
-    learnt.add_run("checks", seconds)
+    estimator.add_run("checks", seconds)
     for n in range(int(120 * per_s)):
-        learnt.add_job(fleetfakes.job(f"s{n}", step), n / per_s)
-    assert least <= learnt.kept_cpu(0, 1e9, 120.0) / 1000.0 <= most
+        estimator.add_job(fleetfakes.job(f"s{n}", step), n / per_s)
+    assert least <= estimator.kept_cpu(0, 1e9, 120.0) / 1000.0 <= most
 
 
-def test_room_kept_is_bounded_and_forgotten():
-    learnt = demand.Demand()
-    learnt.start_observing(0.0)
+def test_kept_capacity_is_capped_and_decays():
+    estimator = demand.DemandEstimator()
+    estimator.start_observing(0.0)
     step = messages.Step(36, messages.Room(9000, 10), estimate_ms=9000)
     for n in range(200):
-        learnt.add_job(fleetfakes.job(f"s{n}", step), 0.01 * n)
-    assert learnt.kept_cpu(0, 1e6, 2.0) == demand.MAX_SHARE * 1e6
-    assert learnt.kept_cpu(0, 1e6, 2.0 + 20 * demand.HALF_LIFE_S) < 0.01 * 1e6
+        estimator.add_job(fleetfakes.job(f"s{n}", step), 0.01 * n)
+    assert estimator.kept_cpu(0, 1e6, 2.0) == demand.MAX_SHARE * 1e6
+    assert estimator.kept_cpu(
+        0, 1e6, 2.0 + 20 * demand.HALF_LIFE_S) < 0.01 * 1e6
 
 
-def test_a_fleet_with_much_room_holds_nothing_back():
+def test_no_headroom_is_required_on_an_underused_fleet():
     workers = [workerstate.WorkerState(fleetfakes.entry(
         n, capacity=CAPACITY)) for n in range(4)]
-    learnt = demand.Demand()
-    wide = messages.Step(8, messages.Room(30_000, 10), estimate_ms=9000)
-    learnt.add_job(fleetfakes.job("s", wide), 1.0)
-    room = headroom.Headroom(workers, learnt, 0, 1.0)
-    assert room.allowed_workers(
-        headroom.RequiredHeadroom.ALL, LASTING, workers) == workers
+    estimator = demand.DemandEstimator()
+    wide_step = messages.Step(8, messages.Room(30_000, 10), estimate_ms=9000)
+    estimator.add_job(fleetfakes.job("s", wide_step), 1.0)
+    headroom_ = headroom.Headroom(workers, estimator, 0, 1.0)
+    assert headroom_.allowed_workers(
+        headroom.RequiredHeadroom.ALL, LONG_RUNNING_STEP, workers) == workers
 
 
-@pytest.mark.parametrize(("created", "known"), [(5, False), (20, True)],
+@pytest.mark.parametrize(("created", "is_counted"), [(5, False), (20, True)],
                          ids=["earlier-owner", "own"])
-def test_jobs_of_an_earlier_owner_tell_no_rate(created, known):
+def test_jobs_accepted_under_an_earlier_owner_do_not_count_as_arrivals(
+        created, is_counted):
     """Learn rates only from jobs that arrive while this process looks.
 
     Symptom: after a change of owner a quarter of the fleet was kept free,
@@ -247,19 +255,22 @@
     bench.add(fleetfakes.job("j", messages.Step(
         1, messages.Room(1000, 10), estimate_ms=900)), created)
     bench.place()
-    assert bool(bench.state.demand.arrivals) is known
+    assert bool(bench.state.demand.arrivals) is is_counted
 
 
 @pytest.mark.parametrize(("gap_s", "least", "most"), [
     # In 20 s one comes every 5 s; of the others none is expected.
     (0.0, 0.0, 1.0), (5.0, 3.0, 5.0), (200.0, 0.0, 1.0),
 ], ids=["all-at-once", "one-by-one", "rarely"])
-def test_room_ahead_follows_how_often_lasting_jobs_come(gap_s, least, most):
+def test_capacity_kept_for_new_jobs_depends_on_their_arrival_rate(gap_s, least,
+                                                                  most):
     """Count lasting jobs that come together once: they tell no rate."""
-    learnt = demand.Demand()
-    learnt.start_observing(0.0)
+    estimator = demand.DemandEstimator()
+    estimator.start_observing(0.0)
     for n in range(30):
-        learnt.add_job(fleetfakes.job(f"l{n}", LASTING), gap_s * n)
-    majority = 4 * LASTING.room.cpu
+        estimator.add_job(fleetfakes.job(f"l{n}", LONG_RUNNING_STEP),
+                          gap_s * n)
+    majority = 4 * LONG_RUNNING_STEP.room.cpu
     now = 29.5 * gap_s if gap_s else 30.0
-    assert least <= learnt.kept_for_new_jobs_cpu(1e9, now) / majority <= most
+    assert (least <= estimator.kept_for_new_jobs_cpu(1e9, now) / majority
+            <= most)
--- a/tests/test_fleet_ordering.py
+++ b/tests/test_fleet_ordering.py
@@ -14,7 +14,7 @@
          messages.Step(1, estimate_ms=1000, after=(0,)))
 
 
-def state(name, accepted_ms, *steps, created=1, queue="checks"):
+def job_state(name, accepted_ms, *steps, created=1, queue="checks"):
     return progress.JobState(fleetfakes.job(
         name, *(steps or STEPS), accepted_ms=accepted_ms, queue=queue),
         created)
@@ -28,36 +28,38 @@
     (13_000, False, ordering.LATE),
     (13_001, False, ordering.TOO_LATE),
 ])
-def test_lateness_follows_from_what_is_left(waited_ms, first_done, expected):
-    job = state("j", 0.0)
+def test_lateness_depends_on_the_remaining_critical_path(waited_ms, first_done,
+                                                         expected):
+    job = job_state("j", 0.0)
     job.occurrence(0)
     job.tasks[0, 0][0].done = first_done
     assert ordering.lateness(job, QUEUES["checks"], waited_ms) == expected
 
 
-def test_jobs_that_can_be_in_time_go_first_and_lasting_ones_last():
-    lasting = state("lasting", 0.0, messages.Step(1, perpetual=True),
-                    created=0)
-    late = state("late", 0.0, created=1)
-    fresh = state("fresh", 9000.0, created=3)
-    older = state("older", 8000.0, created=2)
+def test_on_time_jobs_go_first_and_long_running_jobs_last():
+    long_running = job_state("lasting", 0.0, messages.Step(1, perpetual=True),
+                             created=0)
+    late = job_state("late", 0.0, created=1)
+    newer = job_state("fresh", 9000.0, created=3)
+    older = job_state("older", 8000.0, created=2)
     order = ordering.sort_jobs(
-        [lasting, late, fresh, older], QUEUES, 10_000.0, 100.0)
+        [long_running, late, newer, older], QUEUES, 10_000.0, 100.0)
     assert [s.job.job_id for s in order] == ["older", "fresh", "late",
                                              "lasting"]
 
 
-def test_priority_goes_before_lateness():
+def test_priority_takes_precedence_over_lateness():
     queues = {**QUEUES, "renewals": messages.Queue(
         "renewals", "h", "/r/", "desk", 2, 2, stretch=2.0, slo_ms=500.0)}
-    late = state("late", 0.0)
-    patient = state("patient", 10_000.0, queue="renewals")
-    order = ordering.sort_jobs([patient, late], queues, 10_000.0, 100.0)
+    late = job_state("late", 0.0)
+    low_priority = job_state("patient", 10_000.0, queue="renewals")
+    order = ordering.sort_jobs([low_priority, late], queues, 10_000.0, 100.0)
     assert [s.job.job_id for s in order] == ["late", "patient"]
 
 
-def lasting_job(name, created, ran):
-    job = state(name, 0.0, messages.Step(2, perpetual=True), created=created)
+def long_running_job(name, created, ran):
+    job = job_state(name, 0.0, messages.Step(2, perpetual=True),
+                    created=created)
     job.occurrence(0)
     job.tasks[0, 0][0].ran = ran
     job.tasks[0, 0][1].phase = progress.RUNNING
@@ -68,7 +70,8 @@
     (0.0, ["fresh", "hopeless", "new", "down"]),
     (ordering.BOOST_AFTER_DOWN_S, ["down", "fresh", "hopeless", "new"]),
 ], ids=["just-now", "for-seconds"])
-def test_an_interrupted_lasting_job_goes_before_short_ones(down_s, expected):
+def test_interrupted_long_running_job_goes_before_finite_jobs(down_s,
+                                                              expected):
     """Restart a lasting task before short tasks take its room for ever.
 
     Symptom: lasting tasks stayed down for 16 s after their worker had left,
@@ -77,8 +80,10 @@
     of them too late to count, took each gap.  Cause: every short job went
     before every lasting one.
     """
-    jobs = [state("fresh", 19_000.0, created=1), state("hopeless", 0.0),
-            lasting_job("new", 2, False), lasting_job("down", 3, True)]
+    jobs = [job_state("fresh", 19_000.0, created=1),
+            job_state("hopeless", 0.0),
+            long_running_job("new", 2, False),
+            long_running_job("down", 3, True)]
     ordering.sort_jobs(jobs, QUEUES, 20_000.0, 100.0)
     order = ordering.sort_jobs(jobs, QUEUES, 20_000.0, 100.0 + down_s)
     assert [s.job.job_id for s in order] == expected
--- a/tests/test_fleet_misses.py
+++ b/tests/test_fleet_placement_cache.py
@@ -12,33 +12,33 @@
 from tests import test_fleet_state
 
 WORKERS = 14
-STEPS = 220
+ITERATIONS = 220
 # Weights learnt at one worker change what fits on others; without learning
 # only a worker's own changes do, and both ways must agree to the letter.
-PLAIN = policy_mod.Policy(learn_weights=False, remember_shortage=False)
-REMEMBERING = dataclasses.replace(PLAIN, remember_shortage=True)
+UNCACHED = policy_mod.Policy(learn_weights=False, remember_shortage=False)
+CACHED = dataclasses.replace(UNCACHED, remember_shortage=True)
 
 
-class Twins:
+class TwinFleets:
     """Play the same events on a plain and a remembering fleet."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         entries = [fleetfakes.entry(n, cpu=rng.choice((4000, 8000)))
                    for n in range(WORKERS)]
-        self.plain, self.remembering = (
+        self.uncached, self.cached = (
             test_fleet_state.Bench(*entries, policy=policy)
-            for policy in (PLAIN, REMEMBERING))
-        self.ends = dict.fromkeys(self.plain.state.workers, 0)
+            for policy in (UNCACHED, CACHED))
+        self.last_end_numbers = dict.fromkeys(self.uncached.state.workers, 0)
         self.created = 20
 
-    def both(self):
-        return self.plain, self.remembering
+    def benches(self):
+        return self.uncached, self.cached
 
     def add_job(self) -> None:
         rng = self.rng
         self.created += 1
-        kind = rng.choice(("short", "short", "filling", "lasting"))
+        job_kind = rng.choice(("short", "short", "filling", "lasting"))
         room = messages.Room(rng.randrange(500, 6000, 250),
                              rng.choice((500, 2000)))
         step = {
@@ -50,47 +50,47 @@
                 image=f"f{rng.randrange(3)}"),
             "lasting": messages.Step(
                 rng.randrange(1, 5), room, perpetual=True, target_ms=50.0,
-                image=f"s{rng.randrange(3)}")}[kind]
-        queue = "checks" if kind == "short" else rng.choice(
+                image=f"s{rng.randrange(3)}")}[job_kind]
+        queue = "checks" if job_kind == "short" else rng.choice(
             ("checks", "renewals"))
         job = fleetfakes.job(f"j{self.created}", step, queue=queue,
                              priority=0 if queue == "checks" else 2)
-        for bench in self.both():
+        for bench in self.benches():
             bench.add(job, self.created)
 
     def report(self) -> None:
         """Let a worker report, some of its runs ended."""
-        worker_id = self.rng.choice(list(self.ends))
-        worker = self.plain.state.workers[worker_id]
+        worker_id = self.rng.choice(list(self.last_end_numbers))
+        worker = self.uncached.state.workers[worker_id]
         rows, ended = [], []
         for (task, run), state in sorted(worker.tasks.items()):
             if (state.phase == progress.STOPPING
                     or not state.step.perpetual and self.rng.random() < 0.3):
-                self.ends[worker_id] += 1
+                self.last_end_numbers[worker_id] += 1
                 how = ("stopped" if state.phase == progress.STOPPING
                        else messages.DONE)
                 ended.append(messages.EndedTask(
-                    self.ends[worker_id], task, run, how, ""))
+                    self.last_end_numbers[worker_id], task, run, how, ""))
                 continue
             figure = (self.rng.uniform(10, 60) if state.step.target_ms
                       else state.step.room.cpu)
             rows.append(messages.RunningTask(task, run, "", 100, figure))
-        for bench in self.both():
+        for bench in self.benches():
             bench.report(worker_id, rows, ended)
 
     def change_worker(self) -> None:
         """Let a worker drain, come back, or be avoided for a while."""
-        worker_id = self.rng.choice(list(self.ends))
-        entry = self.plain.state.workers[worker_id].entry
+        worker_id = self.rng.choice(list(self.last_end_numbers))
+        entry = self.uncached.state.workers[worker_id].entry
         drains = self.rng.random() < 0.5
         avoided = self.rng.random() < 0.5
-        for bench in self.both():
+        for bench in self.benches():
             bench.state.add_worker(dataclasses.replace(
                 entry, draining=drains))
             if avoided:
                 bench.state.workers[worker_id].avoid_until = bench.now + 0.5
 
-    def step(self) -> None:
+    def play_event(self) -> None:
         event = self.rng.choices(
             (self.add_job, self.report, self.change_worker),
             (5, 12, 1))[0]
@@ -98,11 +98,11 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_remembering_rounds_order_what_plain_rounds_order(seed):
-    twins = Twins(random.Random(seed))
-    for _ in range(STEPS):
+def test_cached_searches_give_the_same_orders_as_full_searches(seed):
+    twins = TwinFleets(random.Random(seed))
+    for _ in range(ITERATIONS):
         for _ in range(twins.rng.randrange(4)):
-            twins.step()
-        assert twins.plain.place() == twins.remembering.place()
-        assert twins.plain.orders == twins.remembering.orders
-    assert len(twins.plain.orders) > 2 * WORKERS
+            twins.play_event()
+        assert twins.uncached.place() == twins.cached.place()
+        assert twins.uncached.orders == twins.cached.orders
+    assert len(twins.uncached.orders) > 2 * WORKERS
--- a/tests/test_fleet_workload.py
+++ b/tests/test_fleet_round_cost.py
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize(("few", "many"), [(20, 80), (50, 200)])
-def test_a_round_without_room_costs_no_more_for_more_waiting_jobs(
+def test_cost_of_a_round_on_a_full_fleet_does_not_grow_with_waiting_jobs(
         few, many, monkeypatch):
     """Look at the fleet once for all who wait, not once for each.
 
@@ -40,27 +40,28 @@
     Evidence: with 176 workers and 80 waiting jobs a round that placed nothing
     took 53 ms of a whole core, and every report of a worker called for one.
     """
-    looks = []
+    free_calls = []
     free = workerstate.WorkerState.free
 
     def counted(worker):
-        looks.append(worker)
+        free_calls.append(worker)
         return free(worker)
 
     monkeypatch.setattr(workerstate.WorkerState, "free", counted)
     costs = []
     for jobs in (few, many):
         bench = full_fleet(jobs)
-        looks.clear()
+        free_calls.clear()
         assert not bench.place()
-        costs.append(len(looks))
+        costs.append(len(free_calls))
     assert costs[1] <= costs[0] + WORKERS
 
 
-@pytest.mark.parametrize(("running", "wakes"), [(True, False),
-                                                (False, True)],
+@pytest.mark.parametrize(("running", "round_needed"), [(True, False),
+                                                       (False, True)],
                          ids=["nothing-new", "an-end"])
-def test_only_a_report_with_news_calls_for_a_round(running, wakes):
+def test_report_without_changes_does_not_request_a_round(running,
+                                                         round_needed):
     """Plan again when something has changed, not with each report.
 
     Symptom and cause as above: 176 workers send 150 to 400 reports a second,
@@ -78,4 +79,4 @@
     else:
         bench.report(worker_id, [], [messages.EndedTask(
             1, name, 1, "lapsed", "")])
-    assert bench.state.changed is wakes
+    assert bench.state.changed is round_needed
