--- a/sycamorefield/fleet/demand.py
+++ b/sycamorefield/fleet/demand.py
@@ -1,10 +1,10 @@
-"""Follow how many processors short work needs, by what arrives and ends.
+"""Estimate the CPU that finite tasks need, from their arrivals and run times.
 
-Answers the load of a fleet that lasting tasks fill: they stay for minutes, so
-the room that short work needs must be kept before they start.  What a stream
-of steps needs at a time follows from its rate, width and run time (shot
-noise): a step that takes c cores for s seconds adds c*s/T to the mean and
-c*c*s/T to the variance of the cores in use, over T seconds observed.
+Long-running tasks stay for minutes and could fill the fleet, so capacity for
+finite tasks must be kept free before they start.  The CPU that a stream of
+steps uses at a time follows from arrival rate, CPU and run time (shot noise):
+a step that takes c cores for s seconds adds c*s/T to the mean and c*c*s/T to
+the variance of the cores in use, over T seconds observed.
 """
 
 import dataclasses
@@ -12,54 +12,55 @@
 
 from sycamorefield.fleet import messages
 
-# Arrivals count half after this long: a swing of the load over a quarter of
-# a minute is averaged, a change of the load is followed within a minute.
+# After this time an arrival has half its weight.  Swings of the load over 15 s
+# are averaged; a persistent change is followed within a minute.
 HALF_LIFE_S = 30.0
-# Sums over less than this say little: steps come with 1 to 36 tasks.
+# Sums over less time vary too much, as steps have 1 to 36 tasks.
 MIN_OBSERVED_S = 8.0
-# Room kept beyond the mean, in standard deviations.  A core-second is worth
-# about four times as much to a waiting caller as to a lasting job, so room
-# pays that is in use a quarter of the time or more.
+# Capacity kept beyond the mean, in standard deviations.  A core-second is
+# worth about four times as much to a waiting caller as to a long-running job,
+# so it pays to keep capacity that is used at least a quarter of the time.
 HEADROOM_DEVIATIONS = 1.0
-# Before arrivals tell, this share of the processors is kept; without any
-# short work it halves every FIRST_HALF_LIFE_S.
+# Share of the CPU that is kept before arrivals have been observed.  Without
+# finite tasks it halves every INITIAL_HALF_LIFE_S.
 INITIAL_SHARE = 0.10
 INITIAL_HALF_LIFE_S = 60.0
-# At most this share is kept, whatever arrives.
+# Largest share of the CPU kept for finite tasks.
 MAX_SHARE = 0.25
-# Lasting jobs that come within this of each other count as one arrival: many
-# are handed in at once when a deployment starts, which tells no rate.
+# Long-running jobs that arrive within this time of each other count as one
+# arrival: when a deployment starts, many are submitted at once, which says
+# nothing about the rate.
 BATCH_WINDOW_S = 1.0
-# Room is kept for the lasting jobs that come within this: what the others
-# take beyond a majority of their tasks comes back only when jobs leave, which
-# takes minutes.
+# Capacity is kept for the long-running jobs expected within this time: what
+# others use beyond a majority of their tasks is freed only when jobs end,
+# which takes minutes.
 NEW_JOBS_LOOKAHEAD_S = 20.0
-# At most this share is kept for lasting jobs to come.
+# Largest share of the CPU kept for long-running jobs that are expected.
 MAX_NEW_JOBS_SHARE = 0.10
-# A mean is over about this many values: enough for run times that differ by
-# half, and a minute of some arrivals a second.
+# Number of values in a recent mean: enough for run times that vary by half,
+# and about a minute at some arrivals per second.
 MEAN_WINDOW = 200
-# The width of a short task before any has been seen, thousandths of a core.
+# CPU of a finite task before any has arrived, in thousandths of a core.
 INITIAL_TASK_CPU = 3000.0
 
 
 @dataclasses.dataclass(slots=True)
 class Arrivals:
-    """Hold sums over steps that arrived: cores in thousandths, seconds."""
+    """Sums over the steps that arrived, in thousandths of a core and s."""
 
     cpu_s: float = 0.0
     squared_cpu_s: float = 0.0
-    # Sums that give the width of a task, weighted by its core-seconds.
+    # CPU of one task, weighted by the CPU time of its step.
     weighted_task_cpu_s: float = 0.0
 
     def decay(self, factor: float) -> None:
-        """Let what has arrived so far count less."""
+        """Reduce the weight of past arrivals."""
         self.cpu_s *= factor
         self.squared_cpu_s *= factor
         self.weighted_task_cpu_s *= factor
 
     def add(self, step: messages.Step, run_s: float) -> None:
-        """Add a step whose tasks take so many seconds."""
+        """Add a step with a run time per task in seconds."""
         cpu = float(step.room.cpu)
         step_cpu = cpu * step.count
         self.cpu_s += step_cpu * run_s
@@ -69,13 +70,13 @@
 
 @dataclasses.dataclass(slots=True)
 class RecentMean:
-    """Hold the mean of what was seen lately (0 before anything was)."""
+    """Mean of recent values; 0 before the first value."""
 
     total: float = 0.0
     count: int = 0
 
     def add(self, value: float) -> None:
-        """Take in a value; beyond some number older ones count less."""
+        """Add a value; beyond MEAN_WINDOW values older ones lose weight."""
         if self.count < MEAN_WINDOW:
             self.count += 1
         else:
@@ -88,38 +89,39 @@
 
 
 def majority(step: messages.Step) -> int:
-    """Return how many tasks of a lasting step its users need at least."""
+    """Return how many tasks of a long-running step its users need."""
     return step.count // 2 + 1
 
 
 def is_finite(step: messages.Step) -> bool:
-    """Tell whether a step's tasks reserve processors and end."""
+    """Return whether the tasks of a step reserve CPU and end by themselves."""
     return not step.perpetual and not step.fills
 
 
 class DemandEstimator:
-    """Learn what short work of each priority needs."""
+    """Estimate the CPU that finite tasks of each priority need."""
 
     def __init__(self) -> None:
-        # When arrivals were first looked at, and when sums were last faded.
+        # When observation began, and when the sums were last decayed.
         self.observed_since: float | None = None
         self.decayed_at = 0.0
         self.arrivals: dict[int, Arrivals] = {}
-        # How long runs of a queue took, in seconds.
+        # Run times in seconds, by queue.
         self.run_times: dict[str, RecentMean] = {}
-        # Thousandths of a core that most of the tasks of a lasting job take.
+        # CPU of a majority of the tasks of a long-running job, in thousandths
+        # of a core.
         self.majority_cpu = RecentMean()
-        # Arrivals of lasting jobs, those that came together as one.
+        # Arrivals of long-running jobs; those that arrive together count once.
         self.batches = 0.0
         self.last_batch_at = 0.0
 
     def start_observing(self, now: float) -> None:
-        """Count the time observed from now on, unless it counts already."""
+        """Start to count the time observed, unless it has started already."""
         if self.observed_since is None:
             self.observed_since = self.decayed_at = now
 
     def add_job(self, job: messages.Job, now: float) -> None:
-        """Note that a job has arrived."""
+        """Record the arrival of a job."""
         self._decay(now)
         for step in job.steps:
             if step.perpetual:
@@ -138,11 +140,11 @@
             self.last_batch_at = now
 
     def add_run(self, queue: str, run_s: float) -> None:
-        """Note how long a short task of a queue ran until it was done."""
+        """Record the run time in seconds of a finite task that succeeded."""
         self.run_times.setdefault(queue, RecentMean()).add(run_s)
 
     def _expected_run_s(self, queue: str, step: messages.Step) -> float:
-        """Return the mean run time seen; estimates are up to 90% off."""
+        """Return the recent mean run time; estimates are up to 90% off."""
         times = self.run_times.get(queue)
         if times is None:
             return step.estimate_ms / 1000.0
@@ -157,7 +159,7 @@
 
     def kept_cpu(self, priority: int, capacity_cpu: float,
                  now: float) -> float:
-        """Return processors to keep for work of a priority or a higher one.
+        """Return the CPU to keep for finite tasks of at least a priority.
 
         All in thousandths of a core.
         """
@@ -176,11 +178,11 @@
         return min(MAX_SHARE * capacity_cpu, max(initial_cpu, expected_cpu))
 
     def total_kept_cpu(self, capacity_cpu: float, now: float) -> float:
-        """Return the room kept for work of all priorities together."""
+        """Return the CPU kept for finite tasks of all priorities together."""
         return self.kept_cpu(max(self.arrivals, default=0), capacity_cpu, now)
 
     def kept_for_new_jobs_cpu(self, capacity_cpu: float, now: float) -> float:
-        """Return processors to keep for lasting jobs that are to come.
+        """Return the CPU to keep for long-running jobs expected to arrive.
 
         Enough for a majority of their tasks, in thousandths of a core.
         """
@@ -194,14 +196,14 @@
                 if self.observed_since is not None else 0.0)
 
     def _observed_s(self, now: float) -> float:
-        """Return the time that the sums stand for."""
+        """Return the time that the decayed sums stand for."""
         full_window_s = HALF_LIFE_S / math.log(2.0)
         elapsed_s = full_window_s * \
             (1.0 - 0.5 ** (self._age_s(now) / HALF_LIFE_S))
         return max(MIN_OBSERVED_S, elapsed_s)
 
     def mean_task_cpu(self, priority: int) -> float:
-        """Return the width of a gap that short tasks can use."""
+        """Return the mean CPU of a finite task, in thousandths of a core."""
         relevant = [a for arrival_priority, a in self.arrivals.items()
                     if arrival_priority <= priority]
         cpu_s = sum(a.cpu_s for a in relevant)
--- a/sycamorefield/fleet/freeing.py
+++ b/sycamorefield/fleet/freeing.py
@@ -1,4 +1,4 @@
-"""Follow, within a round, the room that is coming on each worker."""
+"""Track, within a round, the capacity being freed on each worker."""
 
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import placing
@@ -7,11 +7,11 @@
 
 
 class FreeingCapacity:
-    """Hold the room that is coming beside what is free, by worker.
+    """The capacity being freed on each worker, in addition to what is free.
 
-    Runs that stop leave it.  Where starts wait to be sent no room comes, but
-    what is free is there as soon as they are out.  It is worked out when
-    first asked for: most rounds never do.
+    Stopping runs free capacity.  A worker with too many unsent starts is
+    included even if it frees nothing: its free capacity can be used once these
+    starts are sent.  Computed on first use, because most rounds don't need it.
     """
 
     def __init__(self, usable_workers: list[workerstate.WorkerState]) -> None:
@@ -19,7 +19,7 @@
         self.freeing: dict[str, messages.Room] | None = None
 
     def by_worker(self) -> dict[str, messages.Room]:
-        """Return the room of each worker where some is, or is held back."""
+        """Return the capacity being freed, by id of a worker to wait for."""
         if self.freeing is None:
             self.freeing = {}
             for worker in self.usable_workers:
@@ -31,14 +31,14 @@
 
     def claim(self, task: progress.TaskState, service: str,
               workers: list[workerstate.WorkerState]) -> bool:
-        """Let a task wait for what comes on a worker; tell if any will do."""
+        """Let a task wait for a worker; return whether it will fit on one."""
         request = task.step.reserved()
         freeing = self.by_worker()
         for worker in workers if freeing else ():
             worker_id = worker.entry.worker_id
             freeing_here = freeing.get(worker_id)
             if (freeing_here is not None
-                and worker.free().plus(freeing_here).holds(request)
+                    and worker.free().plus(freeing_here).holds(request)
                     and placing.allowed(worker, service, task)):
                 freeing[worker_id] = freeing_here.minus(request)
                 return True
@@ -46,17 +46,17 @@
 
     def record_preemption(self, task: progress.TaskState,
                           worker: workerstate.WorkerState) -> None:
-        """Count what runs leave that were stopped on a worker for a task."""
+        """Record what runs preempted on a worker for a task are freeing."""
         self.by_worker()[worker.entry.worker_id] = _freeing_on(
             worker).minus(task.step.reserved())
 
     def record_start(self, worker: workerstate.WorkerState) -> None:
-        """Note a start; if it is the last for now, others wait behind it."""
+        """Record a start; tasks may wait for it if no more are accepted."""
         if self.freeing is not None and not worker.takes_starts():
             self.freeing.setdefault(worker.entry.worker_id, messages.Room())
 
     def discard(self, worker: workerstate.WorkerState) -> None:
-        """Count on nothing that comes on a worker."""
+        """Let no task wait for capacity being freed on a worker."""
         self.by_worker().pop(worker.entry.worker_id, None)
 
 
--- a/sycamorefield/fleet/gangs.py
+++ b/sycamorefield/fleet/gangs.py
@@ -1,4 +1,4 @@
-"""Choose workers for the members of a gang, which start together."""
+"""Choose workers for gangs: groups of tasks that start together."""
 
 from sycamorefield.fleet import placing
 from sycamorefield.fleet import progress
@@ -8,7 +8,11 @@
 def choose(tasks: list[progress.TaskState], service: str,
            usable: list[workerstate.WorkerState]
            ) -> list[workerstate.WorkerState]:
-    """Return a worker for each member, in one rack if that is asked."""
+    """Return a worker for each task, or an empty list if some don't fit.
+
+    If the step asks for one rack, several racks are used only if no single
+    one fits all tasks.
+    """
     if not tasks[0].step.same_rack:
         return _assign(tasks, service, usable)
     racks: dict[str, list[workerstate.WorkerState]] = {}
@@ -24,7 +28,10 @@
 def _assign(tasks: list[progress.TaskState], service: str,
             workers: list[workerstate.WorkerState]
             ) -> list[workerstate.WorkerState]:
-    """Return one worker a member, or nothing if not all have room."""
+    """Return a worker for each task, or an empty list if some don't fit.
+
+    Workers with the most free CPU are used first.
+    """
     step = tasks[0].step
     reserved = step.reserved()
     chosen: list[workerstate.WorkerState] = []
--- a/sycamorefield/fleet/headroom.py
+++ b/sycamorefield/fleet/headroom.py
@@ -1,4 +1,4 @@
-"""Keep room for short work when lasting tasks start."""
+"""Keep capacity for finite tasks when long-running tasks start."""
 
 import enum
 import math
@@ -8,41 +8,43 @@
 from sycamorefield.fleet import progress
 from sycamorefield.fleet import workerstate
 
-# While less of the processors than this is reserved, nothing is held back:
-# a lasting job that waits beside an empty fleet is lost to its users.
+# No headroom is required while a smaller share of the CPU than this is
+# reserved: users of a long-running job would be without service although the
+# fleet is nearly empty.
 MIN_UTILISATION = 0.6
-# What a lasting job wants beyond the majority of its tasks waits this long:
-# jobs that come together (their callers hand them in within some tenths of a
-# second) then all get a majority before any is complete.  Nothing waits while
-# less of the processors than the share below is reserved.
+# Tasks of a long-running job beyond the majority wait this long.  Jobs that
+# arrive together (callers submit them within some tenths of a second) then all
+# get a majority of their tasks before any of them gets the remaining ones.
+# There is no delay while a smaller share of the CPU than this is reserved.
 REMAINING_TASKS_DELAY_S = 1.0
 REMAINING_TASKS_DELAY_MIN_UTILISATION = 0.3
 
 
 class RequiredHeadroom(enum.Enum):
-    """Say how much a lasting task has to leave to others."""
+    """The capacity that a long-running task must leave to others."""
 
-    # It ran already and its users notice that it is gone, or all members of
-    # its gang are needed at once: nothing.
+    # Nothing: it has run before, so its users notice that it is down, or all
+    # members of its gang must start at once.
     NONE = enum.auto()
-    # Without most of its tasks a job serves its users too badly to count:
-    # room for short work only.
+    # Capacity for finite tasks only: without a majority of its tasks a job
+    # serves its users too badly to count.
     FINITE_TASKS = enum.auto()
-    # Room for short work, and for a majority of each lasting job to come.
+    # Capacity for finite tasks and for a majority of the tasks of each
+    # long-running job that is expected to arrive.
     ALL = enum.auto()
 
 
 def placed_count(tasks: list[progress.TaskState]) -> int:
-    """Return how many tasks of a lasting step run or ran."""
+    """Return how many tasks of a long-running step run or have run."""
     return sum(1 for task in tasks
                if task.ran or task.phase != progress.IDLE)
 
 
 def required_headroom(task: progress.TaskState, placed_before: int,
                       spread: bool = True) -> RequiredHeadroom:
-    """Return what a task has to leave, beside those of its step placed.
+    """Return what a task must leave if so many of its step are placed.
 
-    Without spreading, all tasks of a job leave as much as its last one.
+    Without spreading, every task of a job must leave as much as its last one.
     """
     step = task.step
     if not step.perpetual or step.gang or task.ran:
@@ -55,15 +57,17 @@
 
 
 class Headroom:
-    """Hold, within a round, which workers lasting tasks may take.
-
-    What goes wrong without: lasting tasks reserve nearly all processors and
-    stay for minutes, what is left are gaps narrower than any urgent task,
-    and urgent callers wait for seconds on a calm day, however high they
-    rank.  One sees nearly all processors reserved, a widest gap smaller than
-    an urgent task, and urgent tasks waiting all the time.
-    Room counts in gaps as wide as a short task: the rest of a worker is of
-    no use to them, and lasting tasks may have it.
+    """Limit, within a round, the workers that long-running tasks may use.
+
+    Without headroom, long-running tasks reserve nearly all CPU for minutes.
+    The free CPU left on each worker is less than any urgent task requests,
+    and urgent callers wait for seconds even without any fault, whatever their
+    priority.  Symptoms are nearly all CPU reserved, no worker with enough free
+    CPU for an urgent task, and urgent tasks waiting all the time.
+
+    Headroom is counted in slots, each as wide as an average finite task.  CPU
+    of a worker that does not add up to a slot is of no use to finite tasks, so
+    long-running tasks may take it.
     """
 
     def __init__(self, workers: list[workerstate.WorkerState],
@@ -73,7 +77,7 @@
         self.capacity_cpu = sum(w.entry.capacity.cpu for w in workers)
         self.slot_cpu = max(1.0, estimator.mean_task_cpu(priority))
         kept_cpu = estimator.kept_cpu(priority, self.capacity_cpu, now)
-        # What is less than one gap is room for nobody.
+        # Less than one slot would be of no use to any task.
         self.kept_cpu = kept_cpu if kept_cpu >= self.slot_cpu else 0.0
         for_new_jobs_cpu = estimator.kept_for_new_jobs_cpu(
             self.capacity_cpu, now)
@@ -86,11 +90,11 @@
 
     @property
     def utilisation(self) -> float:
-        """Return the share of the processors that is reserved."""
+        """Return the share of the CPU that is reserved, 0 to 1."""
         return self.reserved_cpu / max(1, self.capacity_cpu)
 
     def record_start(self, worker: workerstate.WorkerState, cpu: int) -> None:
-        """Count a start; only what its worker leaves has changed."""
+        """Update the slots of the worker on which a task has started."""
         worker_id = worker.entry.worker_id
         if worker_id not in self.slots_cpu_by_worker:
             return
@@ -101,11 +105,11 @@
 
     def _slots_cpu(self, worker: workerstate.WorkerState,
                    added_cpu: int) -> float:
-        """Return the gaps of a worker that short tasks could use."""
-        unreserved_cpu = (worker.entry.capacity.cpu - worker.lasting_cpu
-                          - added_cpu)
-        return self.slot_cpu * \
-            max(0, math.floor(unreserved_cpu / self.slot_cpu))
+        """Return the CPU of the slots that long-running tasks leave free."""
+        available_cpu = (worker.entry.capacity.cpu - worker.lasting_cpu
+                         - added_cpu)
+        return self.slot_cpu * max(
+            0, math.floor(available_cpu / self.slot_cpu))
 
     def _lost_slots_cpu(self, worker: workerstate.WorkerState,
                         cpu: int) -> float:
@@ -115,16 +119,16 @@
         return cpu_before - self._slots_cpu(worker, cpu)
 
     def delays_remaining_tasks(self, age_s: float) -> bool:
-        """Tell whether the rest of a job of an age in seconds still waits."""
+        """Return whether the remaining tasks of a job must still wait."""
         return (age_s < REMAINING_TASKS_DELAY_S
                 and self.utilisation >= REMAINING_TASKS_DELAY_MIN_UTILISATION)
 
     def allowed_workers(self, required: RequiredHeadroom, step: messages.Step,
                         workers: list[workerstate.WorkerState]
                         ) -> list[workerstate.WorkerState]:
-        """Return the workers that a task of a lasting job may take.
+        """Return the workers that a task of a long-running job may use.
 
-        Within a round they only become fewer.
+        Within a round, workers are only ever removed from the result.
         """
         if self.utilisation < MIN_UTILISATION:
             return workers
@@ -132,5 +136,5 @@
         if required is RequiredHeadroom.ALL:
             kept_cpu += self.kept_for_new_jobs_cpu
         max_loss_cpu = max(0.0, self.total_slots_cpu - kept_cpu)
-        return [w for w in workers if self._lost_slots_cpu(
-            w, step.room.cpu) <= max_loss_cpu]
+        return [w for w in workers
+                if self._lost_slots_cpu(w, step.room.cpu) <= max_loss_cpu]
--- a/sycamorefield/fleet/placement_cache.py
+++ b/sycamorefield/fleet/placement_cache.py
@@ -1,4 +1,4 @@
-"""Remember which needs found no room, within a round and over rounds."""
+"""Cache failed searches for capacity, within a round and across rounds."""
 
 import dataclasses
 import typing
@@ -9,32 +9,33 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SearchScope:
-    """Name the workers among which a task may look for room.
+    """The workers among which a worker for a task is searched.
 
-    A step is named only where its tasks are spread or need tickets; an image
-    only where they fill, because what they disturb depends on it.
+    The step is set only if its tasks are spread over workers or need tickets;
+    the image only for best-effort tasks, because the tasks that they disturb
+    depend on it.
     """
 
     service: str
-    fills: bool = False
+    best_effort: bool = False
     requires: str = ""
     image: str = ""
     step: messages.StepId | None = None
-    # Only where runs of less urgent jobs may give way.
+    # Set only for searches for runs of lower-priority jobs to preempt.
     priority: int | None = None
 
     def without_restrictions(self) -> "SearchScope":
-        """Return the scope without what is special to a step or label."""
-        return SearchScope(self.service, self.fills, image=self.image)
+        """Return the scope without restrictions to a step or label."""
+        return SearchScope(self.service, self.best_effort, image=self.image)
 
 
 class UnplaceableRequests:
-    """Spare the search for a need no smaller than one that found no room.
+    """Requests that fit on no worker, to skip searches for larger ones.
 
-    On a full fleet most tasks that wait find none.  Searching all workers
-    for each of them leaves the owner no time for reports and leases, which
-    then come late.  Within a round room only gets less and urgency too: one
-    search answers for all that is as large.
+    On a full fleet most waiting tasks fit on no worker.  If all workers were
+    searched for each of them, the owner would handle reports and renew leases
+    too late.  Within a round free capacity only shrinks and priority only
+    falls, so one failed search holds for all requests at least as large.
     """
 
     def __init__(self, enabled: bool = True) -> None:
@@ -42,7 +43,7 @@
         self.unplaceable: dict[SearchScope, list[messages.Room]] = {}
 
     def covers(self, scope: SearchScope, request: messages.Room) -> bool:
-        """Tell whether a need is known to find no room."""
+        """Return whether a request is known to fit on no worker."""
         return any(request.holds(known)
                    for known in self._unplaceable_in(scope))
 
@@ -54,7 +55,7 @@
             yield from self.unplaceable.get(unrestricted, ())
 
     def add(self, scope: SearchScope, request: messages.Room) -> None:
-        """Note that a need found no room."""
+        """Record a request that fits on no worker."""
         if not self.enabled:
             return
         kept = [known for known in self.unplaceable.get(scope, ())
@@ -62,19 +63,20 @@
         self.unplaceable[scope] = kept + [request]
 
 
-# Needs remembered over rounds; a full fleet has some hundred that wait.
+# Most failed searches cached; on a full fleet some hundred requests wait.
 MAX_CACHED_SEARCHES = 4096
 
 
 class SearchCache:
-    """Spare the search of workers that have not changed since the last one.
-
-    On a full fleet the same needs wait in round after round, while a few
-    reports come in between.  Searching all workers again for each need makes
-    the work of a round grow with workers times needs, and an owner of
-    hundreds of workers has no time left for reports.  A need that found no
-    room is tried on the workers that changed since: the others still have
-    none, so the choice stays the same.
+    """Failed searches across rounds, to skip workers that have not changed.
+
+    On a full fleet the same requests wait in round after round, with only a
+    few reports in between.  If all workers were searched again for each
+    request, the cost of a round would grow with workers times requests, and an
+    owner of hundreds of workers would have no time left for reports.  So a
+    request that did not fit on any worker is tried only on workers that have
+    changed since.  It still doesn't fit on the others, so the choice stays the
+    same.
     """
 
     def __init__(self) -> None:
@@ -83,18 +85,18 @@
     def workers_to_search(self, scope: SearchScope, request: messages.Room,
                           workers: list[workerstate.WorkerState]
                           ) -> list[workerstate.WorkerState]:
-        """Return the workers that may have room, in their order."""
+        """Return the workers on which a request may fit, in their order."""
         since = self.searched_at.get((scope, request))
         if since is None:
             return workers
         return [w for w in workers if w.changed > since]
 
     def add(self, scope: SearchScope, request: messages.Room) -> None:
-        """Note that a need has just found no room on any worker."""
+        """Record that a request has just been found to fit on no worker."""
         if len(self.searched_at) >= MAX_CACHED_SEARCHES:
             self.searched_at.clear()
         self.searched_at[scope, request] = next(workerstate.CHANGES)
 
     def clear(self) -> None:
-        """Forget all, because rules for all workers have changed."""
+        """Drop all entries, because rules for all workers have changed."""
         self.searched_at.clear()
--- a/sycamorefield/fleet/placing.py
+++ b/sycamorefield/fleet/placing.py
@@ -1,4 +1,4 @@
-"""Choose workers for tasks, and what gives way to an urgent one."""
+"""Choose workers for tasks, and runs to preempt for urgent tasks."""
 
 import heapq
 import typing
@@ -8,43 +8,45 @@
 from sycamorefield.fleet import progress
 from sycamorefield.fleet import workerstate
 
-# A filling task is placed where this many times what it wants is expected to
-# be left over: processors that are all in use disturb every serving task, and
-# the load of those is known to a few percent only.
+# A best-effort task needs this many times its CPU to be expected unused: a
+# worker whose CPU is fully used slows down every task with a latency target,
+# and the load of those tasks is known only to within a few percent.
 BEST_EFFORT_CPU_FACTOR = 1.05
-# A filling task goes where no tail that it harms is expected above this share
-# of its target: loads swing within a run, and what is placed close to the
-# share at which runs are slowed soon is.
+# A best-effort task is placed only where no tail latency that it affects is
+# expected above this share of its target.  Load varies during a run: one
+# placed close to the share at which runs are throttled is soon throttled.
 MAX_TAIL_LATENCY_RATIO = 0.55
 
 
 def available_best_effort_cpu(worker: workerstate.WorkerState) -> float:
-    """Return processors that filling tasks may expect, in thousandths.
+    """Return the CPU that further best-effort tasks may expect to use.
 
-    Serving tasks use what their load tells; a fixed share of what they
-    reserve leaves processors unused at low load, and has all of them in use,
-    which disturbs every serving task, at high load.
+    In thousandths of a core.  The CPU used by tasks with a latency target is
+    derived from their load.  A fixed share of what they reserve would leave
+    CPU unused at low load; at high load all CPU would be in use, which slows
+    down every such task.
     """
     return (worker.entry.capacity.cpu - worker.used.cpu + worker.unused_cpu
             - worker.filling_cpu)
 
 
 def is_saturated(worker: workerstate.WorkerState) -> bool:
-    """Tell whether filling tasks want more processors than are left over."""
+    """Return whether best-effort tasks request more CPU than is unused."""
     return available_best_effort_cpu(worker) < 0
 
 
 def allowed(worker: workerstate.WorkerState, service: str,
             task: progress.TaskState) -> bool:
-    """Tell whether rules let a task run on a worker, room aside."""
+    """Return whether a task may run on a worker, capacity aside."""
     step = task.step
     if worker.entry.service != service:
         return False
     if step.requires and step.requires not in worker.entry.labels:
         return False
     if step.max_per_worker:
-        name = task.task
-        running_here = worker.count_of(name.job_id, name.occurrence, name.step)
+        task_id = task.task
+        running_here = worker.count_of(
+            task_id.job_id, task_id.occurrence, task_id.step)
         if running_here >= step.max_per_worker:
             return False
     return True
@@ -52,29 +54,29 @@
 
 def fits(worker: workerstate.WorkerState, step: messages.Step,
          model: interference.Interference) -> bool:
-    """Tell whether a worker has the room, and gets its starts, now."""
+    """Return whether a worker has the capacity and accepts starts now."""
     if not worker.takes_starts():
         return False
-    if step.fills and available_best_effort_cpu(
-            worker) < BEST_EFFORT_CPU_FACTOR * step.room.cpu:
+    if (step.fills and available_best_effort_cpu(worker)
+            < BEST_EFFORT_CPU_FACTOR * step.room.cpu):
         return False
     if not worker.free().holds(step.reserved()):
         return False
     if not step.fills or not model.limits:
         return True
     cores = step.room.cpu / 1000.0
-    return model.stays_below(worker.tails, step.image,
-                             cores, MAX_TAIL_LATENCY_RATIO)
+    return model.stays_below(worker.tails, step.image, cores,
+                             MAX_TAIL_LATENCY_RATIO)
 
 
 def choose(task: progress.TaskState, service: str,
            workers: typing.Iterable[workerstate.WorkerState],
            model: interference.Interference
            ) -> workerstate.WorkerState | None:
-    """Return the best worker for a task, or None if none has room.
+    """Return the best worker for a task, or None if it fits on none.
 
-    Data nearby counts most, then workers on which the task has not failed,
-    then the most room left, so that neither racks nor workers fill unevenly.
+    Workers on which the task has not failed come first, then those near its
+    data; _packing_rank() decides between equal ones.
     """
     best = None
     highest_rank: Rank = ()
@@ -90,7 +92,7 @@
 
 def _rank(worker: workerstate.WorkerState, task: progress.TaskState,
           service: str, model: interference.Interference) -> Rank | None:
-    """Return how well a task goes on a worker, or None if it can't."""
+    """Rank a worker for a task (higher is better); None if it can't run."""
     step = task.step
     if not allowed(worker, service, task) or not fits(worker, step, model):
         return None
@@ -103,10 +105,10 @@
 class Ranking:
     """Choose workers for the tasks of a step, one after the other.
 
-    Chooses what choose() does for each, but ranks all workers only once:
-    searching them anew for each of dozens of tasks takes most of a round that
-    starts them.  It holds as long as only the workers that it chose change,
-    and for tasks that avoid no worker.
+    The result is the same as that of choose() for each task, but all workers
+    are ranked only once: searching them for each of dozens of tasks takes most
+    of the time of a round that starts these tasks.  Valid only while no
+    workers change but those it chose, and for tasks that avoid no worker.
     """
 
     def __init__(self, task: progress.TaskState, service: str,
@@ -115,7 +117,7 @@
         self.task = task
         self.service = service
         self.model = model
-        # The best first; of equal ones the first in the order of workers.
+        # Best first; ties are broken by the order of the workers.
         self.heap: list[tuple[Rank, int, int,
                               workerstate.WorkerState]] = []
         for position, worker in enumerate(workers):
@@ -125,7 +127,7 @@
         heapq.heapify(self.heap)
 
     def best(self) -> workerstate.WorkerState | None:
-        """Return the best worker as of now, or None if none has room."""
+        """Return the best worker at present, or None if there is none."""
         while self.heap:
             _, position, changed, worker = self.heap[0]
             if worker.changed == changed:
@@ -144,7 +146,7 @@
     return tuple(-part for part in rank), position, worker.changed, worker
 
 
-# Added harm below this (a tail 2% higher a core) counts as none.
+# Differences in harm below this (2% more tail latency per core) are ignored.
 NEGLIGIBLE_HARM = 0.02
 
 
@@ -155,15 +157,15 @@
         return (-round(harm / NEGLIGIBLE_HARM),
                 available_best_effort_cpu(worker))
     if step.target_ms:
-        # Serving tasks of one image together: a filling image that harms
-        # them then finds other workers where it harms nobody.
-        serving_images = [task.step.image for task in worker.tasks.values()
-                          if task.step.target_ms]
-        same_image = serving_images.count(step.image)
-        other_images = len(serving_images) - same_image
-        return (-float(other_images), float(same_image > 0), -
-                float(worker.free().cpu))
-    # The smallest gap that fits: wide gaps stay for wide tasks.
+        # Place tasks of one image together: a best-effort image that disturbs
+        # them can then use other workers, where it disturbs no task.
+        target_images = [task.step.image for task in worker.tasks.values()
+                         if task.step.target_ms]
+        same_image = target_images.count(step.image)
+        other_images = len(target_images) - same_image
+        return (-float(other_images), float(same_image > 0),
+                -float(worker.free().cpu))
+    # Best fit: workers with much free capacity stay free for wide tasks.
     return (-float(worker.free().cpu), -float(worker.free().mem_mb))
 
 
@@ -171,10 +173,10 @@
                    workers: typing.Iterable[workerstate.WorkerState],
                    priority_of: typing.Callable[[progress.TaskState], int]
                    ) -> list[progress.TaskState]:
-    """Return the fewest less urgent runs that make room for a task.
+    """Return the fewest lower-priority runs to preempt for a task.
 
-    Runs that save their progress go first, then those that began last:
-    both lose least work.
+    Runs that save checkpoints are preempted first, then those started last:
+    both lose the least work.
     """
     best: list[progress.TaskState] = []
     for worker in workers:
@@ -193,7 +195,8 @@
     request = step.reserved()
     free = worker.free()
     if request.cpu > free.cpu and not worker.yielding:
-        # Filling runs hold no processors; on a full fleet most runs fill.
+        # Preempting best-effort runs frees no reserved CPU, and on a full
+        # fleet most runs are best-effort.
         return []
     candidates = [t for t in worker.tasks.values()
                   if t.phase == progress.RUNNING and not t.step.perpetual
--- a/sycamorefield/fleet/policy.py
+++ b/sycamorefield/fleet/policy.py
@@ -1,37 +1,41 @@
-"""Name the mechanisms of placing that can be switched off one by one."""
+"""The mechanisms of the scheduler that can be disabled one by one."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Policy:
-    """Say which mechanisms are in use; all are by default.
+    """Which mechanisms are enabled; by default all are.
 
-    Each is described in the module that it switches off, together with what
-    it gains; docs/operators/policy.md lists them.
+    Each is described, with its benefit, in the module that implements it;
+    docs/operators/policy.md lists them.
     """
 
-    # headroom.py: lasting tasks leave room for short work.
+    # headroom.py: long-running tasks leave capacity for finite tasks.
     keep_room_for_short_work: bool = True
-    # headroom.py: most tasks of each lasting job go before the rest of any.
+    # headroom.py: each long-running job gets a majority of its tasks before
+    # any job gets the remaining ones.
     spread_lasting_jobs: bool = True
-    # gaps.py: gaps are kept for lasting tasks that are down.
+    # reservations.py: workers are reserved for long-running tasks that are
+    # down.
     keep_gaps: bool = True
-    # shortage.py: one search of a round answers for all needs as large.
+    # placement_cache.py, placing.py: failed searches are cached, and the
+    # workers are ranked once for all tasks of a step.
     remember_shortage: bool = True
-    # pacing.py: filling runs are slowed beside tails near their target.
+    # pacing.py: best-effort runs are throttled beside tasks whose tail latency
+    # is near its target.
     pace_filling: bool = True
-    # placing.py: filling runs start only where they keep tails low.
+    # placing.py: best-effort runs start only where tail latency stays low.
     limit_tails: bool = True
     # interference.py: weights of pairs of images are learnt.
     learn_weights: bool = True
-    # interference.py: loads are expected to go on as they rise or fall.
+    # interference.py: rising or falling loads are extrapolated.
     follow_slopes: bool = True
-    # rounds.py: runs that make little progress move to other workers.
+    # rounds.py: runs that make little progress are moved to other workers.
     move_stalled_runs: bool = True
-    # ordering.py: jobs that can still be in time go before late ones.
+    # ordering.py: jobs that can still finish on time go before late ones.
     rank_by_lateness: bool = True
-    # workerstate.py: few starts wait to be sent to a worker.
+    # workerstate.py: the number of unsent starts per worker is limited.
     limit_unsent_starts: bool = True
-    # ownership.py: weak VMs leave the fleet to stronger ones.
+    # ownership.py: weak VMs delay their claim to own the fleet.
     weak_vms_wait: bool = True
--- a/sycamorefield/fleet/reservations.py
+++ b/sycamorefield/fleet/reservations.py
@@ -1,4 +1,4 @@
-"""Keep gaps open for lasting tasks that are down and find no room."""
+"""Reserve workers for long-running tasks that are down and don't fit."""
 
 import collections
 import dataclasses
@@ -9,17 +9,17 @@
 from sycamorefield.fleet import progress
 from sycamorefield.fleet import workerstate
 
-# A task that goes first after 4 s down counts as lost 5 s later; runs that
-# take up to this long leave it two of them.
+# A long-running task that is down goes first after 4 s and counts as lost
+# after 9 s.  Waiting for runs of up to this length leaves 2 s of these 5 s.
 SHORT_RUN_MS = 3000
 
 
 @dataclasses.dataclass(slots=True)
 class ReservableWorker:
-    """Hold a worker's room beyond its claims, now and later.
+    """The capacity of a worker that is not reserved, now and later.
 
-    soon is what is left once its short runs have ended, late once all have
-    that end by themselves.
+    free_soon is what is free once its short runs have ended, free_eventually
+    once all runs have ended that end by themselves.
     """
 
     worker: workerstate.WorkerState
@@ -30,7 +30,7 @@
         default_factory=collections.Counter)
 
     def reserve(self, task: progress.TaskState) -> None:
-        """Take off what a task will need."""
+        """Subtract what a task requests."""
         request = task.step.reserved()
         self.free = self.free.minus(request)
         self.free_soon = self.free_soon.minus(request)
@@ -39,7 +39,7 @@
 
     def allows(self, task: progress.TaskState, service: str,
                tickets: dict[str, str] | None) -> bool:
-        """Tell whether rules let a task run here beside its claims."""
+        """Return whether a task may run here beside the reservations."""
         step = task.step
         worker = self.worker
         if tickets is not None and worker.entry.worker_id not in tickets:
@@ -48,21 +48,22 @@
             return False
         if not step.max_per_worker:
             return True
-        name = task.task
-        running_here = worker.count_of(name.job_id, name.occurrence, name.step)
+        task_id = task.task
+        running_here = worker.count_of(
+            task_id.job_id, task_id.occurrence, task_id.step)
         return running_here + \
-            self.reserved_tasks[name.step_id()] < step.max_per_worker
+            self.reserved_tasks[task_id.step_id()] < step.max_per_worker
 
 
 class Reservations:
-    """Claim workers on which runs that end will leave a wide enough gap.
-
-    What goes wrong without: a task that goes first but is wider than any gap
-    is passed over, narrower ones take each part of the gap that would grow,
-    and it stays down for as long as they keep coming.  Its users notice; the
-    owner sees a task down for seconds beside starts on every worker.  With a
-    claim nothing else is started on that worker until runs have ended there,
-    so the wait is that of the runs that are there.
+    """Reserve workers on which a task will fit once other runs have ended.
+
+    Without reservations, a task that goes first but requests more than any
+    worker has free is skipped, and narrower tasks use whatever capacity
+    becomes free.  It stays down for as long as such tasks arrive: its users
+    are without service for seconds, while the owner starts other tasks on
+    every worker.  On a reserved worker nothing else is started until enough
+    runs have ended, so the task waits only for runs that are already there.
     """
 
     def __init__(self, workers: list[workerstate.WorkerState]) -> None:
@@ -74,7 +75,7 @@
                 scope: placement_cache.SearchScope,
                 tickets: dict[str, str] | None
                 ) -> workerstate.WorkerState | None:
-        """Return the worker to keep clear for a task, or None."""
+        """Return the worker reserved for a task, or None if there is none."""
         request = task.step.reserved()
         if self.unplaceable.covers(scope, request):
             return None
@@ -92,10 +93,10 @@
     def _choose_worker(self, task: progress.TaskState, service: str,
                        tickets: dict[str, str] | None,
                        include_long_runs: bool) -> ReservableWorker | None:
-        """Return where the gap is widest now of those that will do.
+        """Return the worker with the most free CPU of those that will fit.
 
-        It is the next to be wide enough; as nothing else takes of it, the
-        choice mostly stays the same from round to round.
+        It is expected to fit the task first.  As nothing else uses its
+        capacity, the choice mostly stays the same from round to round.
         """
         request = task.step.reserved()
         best = None
@@ -104,8 +105,8 @@
                 continue
             free_later = (candidate.free_eventually if include_long_runs
                           else candidate.free_soon)
-            if free_later.holds(request) and candidate.allows(
-                    task, service, tickets):
+            if (free_later.holds(request)
+                    and candidate.allows(task, service, tickets)):
                 best = candidate
         return best
 
--- a/sycamorefield/fleet/rounds.py
+++ b/sycamorefield/fleet/rounds.py
@@ -1,4 +1,4 @@
-"""Place waiting tasks in one round over the fleet."""
+"""Run scheduling rounds: match waiting tasks to workers."""
 
 import dataclasses
 
@@ -17,17 +17,18 @@
 from sycamorefield.fleet import trials
 from sycamorefield.fleet import workerstate
 
-# A filling run slowed to pacer.STALLED_PACE for this long moves to a worker
-# where it is expected to harm nobody, if there is one.  Moving sooner throws
-# more work away than it saves.
+# A best-effort run throttled to pacer.STALLED_PACE for this long is moved to a
+# worker where it is expected to disturb no other task, if there is one.  A
+# move loses the progress made so far: moving sooner loses more work than it
+# saves.
 MOVE_STALLED_AFTER_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EligibleWorkers:
-    """Say where a step may run: its service, workers and their tickets.
+    """The workers on which a step may run, with their tickets.
 
-    Without a queue's advice policy there are no tickets at all.
+    There are no tickets (None) if the queue has no advice policy.
     """
 
     service: str
@@ -35,11 +36,11 @@
     tickets: dict[str, str] | None = None
 
     def ticket(self, worker: workerstate.WorkerState) -> str:
-        """Return the ticket that a start on a worker carries, or nothing."""
+        """Return the ticket to start a run on a worker, or an empty string."""
         return (self.tickets or {}).get(worker.entry.worker_id, "")
 
     def scope(self, task: progress.TaskState) -> placement_cache.SearchScope:
-        """Name the workers among which a task of the step looks for room."""
+        """Return the scope of a search for a worker for a task of the step."""
         step = task.step
         own = step.max_per_worker or self.tickets is not None
         return placement_cache.SearchScope(
@@ -49,7 +50,7 @@
 
 
 class Round:
-    """Place tasks in one round, remembering what found no room."""
+    """A scheduling round; caches which requests could not be placed."""
 
     def __init__(self, fleet: state_mod.FleetState,
                  queues: dict[str, messages.Queue],
@@ -58,32 +59,34 @@
         self.fleet = fleet
         self.queues = queues
         self.usable_workers = usable_workers
-        # How many workers there are for all, those set aside among them.
+        # Usable workers, including those quarantined for suspected tasks.
         self.worker_count = len(usable_workers) + len(fleet.trials.by_worker)
         self.now = now
         self.policy = fleet.policy
-        # What finds no room now, and what can't expect any soon either.
+        # Requests that fit on no worker now, and those for which capacity is
+        # neither being freed nor can be freed by preemption.
         remember_searches = self.policy.remember_shortage
         self.unplaceable = placement_cache.UnplaceableRequests(
             remember_searches)
         self.no_capacity_expected = placement_cache.UnplaceableRequests(
             remember_searches)
         self.reservations = reservations.Reservations(usable_workers)
-        # Lasting tasks that found none beside the room to leave, and that
-        # room, by service and by the priority of the lasting job.
+        # Long-running tasks that could not be placed without using capacity
+        # kept for others, by how much they must leave.
         self.held_back = {
             required: placement_cache.UnplaceableRequests()
             for required in headroom.RequiredHeadroom}
+        # By service and by the priority of the long-running job.
         self.headrooms: dict[tuple[str, int], headroom.Headroom] = {}
         self.freeing = freeing.FreeingCapacity(usable_workers)
-        # Workers on which something else was not to start in this round.
+        # Workers on which this round must not start any other task.
         self.excluded: list[workerstate.WorkerState] = []
-        # Workers for the tasks of the step being placed.
+        # Ranked workers for the tasks of the step being placed.
         self.ranking: placing.Ranking | None = None
 
     def place_step(self, state: progress.JobState, occurrence: int,
                    number: int) -> bool:
-        """Start the idle tasks of a step; tell if any waited."""
+        """Start the idle tasks of a step; return whether any was waiting."""
         if (state.step_done(occurrence, number)
                 or not state.step_ready(occurrence, number)):
             return False
@@ -109,7 +112,7 @@
     def _ask_advice(self, state: progress.JobState,
                     tasks: list[progress.TaskState],
                     eligible: EligibleWorkers) -> None:
-        """Ask about further workers while tasks of a step find no room."""
+        """Request advice on more workers if tasks of a step are unplaced."""
         queue = self.queues[state.job.queue]
         unplaced = [t for t in tasks if t.phase == progress.IDLE]
         if not unplaced or queue.advice is None:
@@ -123,7 +126,7 @@
 
     def _eligible_workers(self, state: progress.JobState,
                           task: progress.TaskState) -> EligibleWorkers:
-        """Return where a task's step may run, by configuration and advice."""
+        """Return the workers that configuration and advice allow a step."""
         queue = self.queues.get(state.job.queue)
         service = queue.service if queue else state.job.service
         if queue is None or queue.advice is None:
@@ -137,7 +140,7 @@
                      tasks: list[progress.TaskState],
                      startable: list[progress.TaskState],
                      eligible: EligibleWorkers) -> None:
-        """Start the idle ones of the tasks of a step as far as room goes."""
+        """Start as many of the startable tasks of a step as possible."""
         keeps_headroom = (
             self.policy.keep_room_for_short_work
             and state.job.steps[startable[0].task.step].perpetual)
@@ -149,7 +152,8 @@
                 task, placed_count, self.policy.spread_lasting_jobs)
             if (keeps_headroom
                     and required is not headroom.RequiredHeadroom.NONE):
-                # Others of the step may have run, and need not leave room.
+                # Go on after a failure: tasks that have run before may use
+                # capacity that this one must leave.
                 if required in exhausted:
                     continue
                 if self._place_long_running(state, task, eligible, required):
@@ -157,13 +161,16 @@
                 elif self._is_held_back(state, task, eligible, required):
                     exhausted.add(required)
             elif not self._place_task(state, task, eligible):
-                # Its other tasks are as large and look as far.
+                # The other tasks request as much in the same scope.
                 break
 
     def _place_task(self, state: progress.JobState,
                     task: progress.TaskState,
                     eligible: EligibleWorkers) -> bool:
-        """Start a task where there is room; tell if others may be tried."""
+        """Start a task if it fits on a worker.
+
+        Return whether the other tasks of its step should be tried.
+        """
         scope = eligible.scope(task)
         request = task.step.room
         if not self.unplaceable.covers(scope, request):
@@ -178,13 +185,17 @@
     def _wait_for_capacity(self, state: progress.JobState,
                            task: progress.TaskState, eligible: EligibleWorkers,
                            scope: placement_cache.SearchScope) -> bool:
-        """Let a task without room wait; tell if others may be tried."""
+        """Free or reserve capacity for a task that fits on no worker.
+
+        Return whether the other tasks of its step should be tried.
+        """
         expects_capacity = self._expects_capacity(state, task, eligible, scope)
         if (self.policy.keep_gaps and task.ran
                 and ordering.is_interrupted(state, self.now)):
             return self._reserve_worker(
                 task, eligible, scope) or expects_capacity
-        # Of one step some lasting tasks may have run and others not.
+        # Long-running tasks of one step are treated differently, depending
+        # on whether they have run before.
         return expects_capacity or task.step.perpetual
 
     def _choose_worker(self, task: progress.TaskState,
@@ -208,7 +219,7 @@
                            eligible: EligibleWorkers,
                            scope: placement_cache.SearchScope
                            ) -> list[workerstate.WorkerState]:
-        """Return the workers that may have room for a task by now."""
+        """Return the workers on which a task may fit since the last search."""
         if eligible.tickets is not None or not self.policy.remember_shortage:
             return eligible.workers
         return self.fleet.no_room.workers_to_search(scope, task.step.room,
@@ -218,8 +229,8 @@
                         *worker_lists: list[workerstate.WorkerState]) -> None:
         """Start nothing more on a worker in this round.
 
-        In the next one it counts as changed: what finds no room now has not
-        been tried there.
+        The next round treats the worker as changed, because requests that
+        can't be placed in this round have not been tried on it.
         """
         self.excluded.append(worker)
         self.ranking = None
@@ -228,7 +239,7 @@
                 workers.remove(worker)
 
     def finish(self) -> None:
-        """Let the next round try what this one left out."""
+        """Mark excluded workers as changed for the next round."""
         for worker in self.excluded:
             worker.touch()
 
@@ -236,9 +247,10 @@
                             task: progress.TaskState,
                             eligible: EligibleWorkers,
                             required: headroom.RequiredHeadroom) -> bool:
-        """Start a lasting task where it leaves room; tell if it was.
+        """Start a long-running task where enough headroom remains.
 
-        Less urgent runs give way to it as to any, but only where it may go.
+        Lower-priority runs are preempted for it as for any task, but only on
+        workers that it may use.  Return whether it was started.
         """
         if self._is_held_back(state, task, eligible, required):
             return False
@@ -264,9 +276,9 @@
     def _is_held_back(self, state: progress.JobState, task: progress.TaskState,
                       eligible: EligibleWorkers,
                       required: headroom.RequiredHeadroom) -> bool:
-        """Tell whether a lasting task is known not to start in this round.
+        """Return whether a long-running task can't start in this round.
 
-        All of its step that leave as much room wait with it.
+        This holds for all tasks of its step that must leave as much headroom.
         """
         if self.held_back[required].covers(
                 eligible.scope(task), task.step.room):
@@ -299,10 +311,10 @@
     def _expects_capacity(self, state: progress.JobState,
                           task: progress.TaskState, eligible: EligibleWorkers,
                           scope: placement_cache.SearchScope) -> bool:
-        """Tell whether room is coming for a task, or make some."""
+        """Return whether capacity is being freed; preempt runs if needed."""
         request = task.step.room
         if task.step.fills or self.no_capacity_expected.covers(scope, request):
-            # What fills waits for processors that serving tasks leave.
+            # Best-effort tasks wait for CPU that other tasks leave unused.
             return False
         if self._preempt_for(state, task, eligible):
             return True
@@ -312,10 +324,11 @@
     def _reserve_worker(self, task: progress.TaskState,
                         eligible: EligibleWorkers,
                         scope: placement_cache.SearchScope) -> bool:
-        """Let a lasting task that is down wait for a gap that grows.
+        """Reserve a worker for a long-running task that is down.
 
-        Also where room is coming: others would count on it, too, and take
-        the part that is free already.
+        This is also needed where capacity is being freed: otherwise other
+        tasks would count on it too and use the part that is already free.
+        Return whether a worker was reserved.
         """
         worker = self.reservations.reserve(task, scope, eligible.tickets)
         if worker is None:
@@ -328,7 +341,7 @@
                     tasks: list[progress.TaskState],
                     startable: list[progress.TaskState],
                     eligible: EligibleWorkers) -> None:
-        """Start all members at once with one run number, or none."""
+        """Start all members of a gang with one run number, or none."""
         if len(startable) < len(tasks):
             return
         run = max(state.next_run(t) for t in tasks)
@@ -343,7 +356,7 @@
                          startable: list[progress.TaskState],
                          suspected: list[progress.TaskState],
                          eligible: EligibleWorkers) -> None:
-        """Try the suspected tasks of a step apart, and start the others."""
+        """Start suspected tasks of a step in quarantine, others as usual."""
         if tasks[0].step.gang:
             if len(startable) == len(tasks):
                 self._place_in_quarantine(state, tasks, eligible)
@@ -357,7 +370,7 @@
     def _place_in_quarantine(self, state: progress.JobState,
                              tasks: list[progress.TaskState],
                              eligible: EligibleWorkers) -> None:
-        """Start suspected tasks where a crash could only come from them."""
+        """Start suspected tasks where only they could cause a crash."""
         quarantine = self.fleet.trials.by_task.get(tasks[0].task)
         if quarantine is None:
             self._quarantine_workers(state, tasks, eligible)
@@ -369,7 +382,7 @@
             return
         if not trials.fits(quarantine, workers, eligible.service,
                            eligible.tickets):
-            self.fleet.trials.remove(quarantine, "no room or not allowed")
+            self.fleet.trials.remove(quarantine, "does not fit or not allowed")
             return
         self._start_quarantine_run(quarantine, eligible)
 
@@ -391,7 +404,7 @@
     def _quarantine_workers(self, state: progress.JobState,
                             tasks: list[progress.TaskState],
                             eligible: EligibleWorkers) -> None:
-        """Keep workers free of other starts until the tasks run there."""
+        """Quarantine workers: only the given tasks may start there."""
         if not self.fleet.trials.may_add(self.worker_count):
             return
         chosen = self._choose_quarantine_workers(tasks, eligible)
@@ -411,7 +424,7 @@
     def _choose_quarantine_workers(self, tasks: list[progress.TaskState],
                                    eligible: EligibleWorkers
                                    ) -> list[workerstate.WorkerState]:
-        """Return workers to set aside, if possible without young runs."""
+        """Return workers to quarantine, preferably without recent starts."""
         without_young_runs = [worker for worker in eligible.workers
                               if not trials.has_young_run(worker, self.now)]
         for workers in (without_young_runs, eligible.workers):
@@ -426,7 +439,7 @@
         return []
 
     def move_one_stalled_run(self) -> None:
-        """Stop runs that make little progress if others have room."""
+        """Stop one run that makes little progress, if it can run elsewhere."""
         for worker in self.fleet.workers.values():
             for task in list(worker.tasks.values()) if worker.stalls else ():
                 if not self._is_stalled(task):
@@ -434,15 +447,15 @@
                 target = self._find_move_target(worker, task)
                 if target is not None:
                     self.fleet.stop_run(task, "little progress here")
-                    # Until it is placed there, others must not count on
-                    # the same processors.
+                    # No other task may use this capacity before the run is
+                    # placed there.
                     self._exclude_worker(target, self.usable_workers)
                     return
 
     def _find_move_target(self, worker: workerstate.WorkerState,
                           task: progress.TaskState
                           ) -> workerstate.WorkerState | None:
-        """Return another worker that has room for a run, or None."""
+        """Return another worker on which a run fits, or None."""
         eligible = self._eligible_workers(
             self.fleet.jobs[task.task.job_id], task)
         scope = eligible.scope(task)
@@ -456,7 +469,8 @@
             self.unplaceable.add(scope, task.step.room)
             if eligible.tickets is None and not placing.fits(
                     worker, task.step, self.fleet.learnt):
-                # Nor could another such run start where this one is.
+                # The current worker would not take another such run either,
+                # so the request fits on no worker at all.
                 self.fleet.no_room.add(scope, task.step.room)
         return target
 
@@ -469,7 +483,10 @@
     def _preempt_for(self, state: progress.JobState,
                      task: progress.TaskState,
                      eligible: EligibleWorkers) -> bool:
-        """Stop less urgent runs for a task; tell if it can expect room."""
+        """Preempt lower-priority runs for a task unless capacity is freed.
+
+        Return whether the task can expect capacity.
+        """
         if self.freeing.claim(task, eligible.service, eligible.workers):
             return True
         chosen = self._choose_victims(state, task, eligible)
@@ -483,7 +500,7 @@
     def _choose_victims(self, state: progress.JobState,
                         task: progress.TaskState,
                         eligible: EligibleWorkers) -> list[progress.TaskState]:
-        """Return less urgent runs whose stop makes room for a task."""
+        """Return lower-priority runs to preempt so that a task fits."""
         priority = ordering.priority(state, self.queues)
         scope = dataclasses.replace(eligible.scope(task), priority=priority)
         workers = eligible.workers
@@ -491,12 +508,10 @@
                              and not task.step.perpetual
                              and self.policy.remember_shortage)
         if remember_searches:
-            workers = self.fleet.no_victims.workers_to_search(scope,
-                                                              task.step.room,
-                                                              workers)
+            workers = self.fleet.no_victims.workers_to_search(
+                scope, task.step.room, workers)
         chosen = placing.choose_victims(task, eligible.service, priority,
-                                        workers,
-                                        self._task_priority)
+                                        workers, self._task_priority)
         if remember_searches and not chosen:
             self.fleet.no_victims.add(scope, task.step.room)
         return chosen
@@ -507,7 +522,7 @@
 
 
 def place(fleet: state_mod.FleetState, now: float, wall_ms: float) -> None:
-    """Start every task whose turn has come and that has room."""
+    """Run one round: start all tasks that are ready and fit on a worker."""
     with fleet.lock:
         fleet.changed = False
         fleet.demand.start_observing(now)
@@ -515,7 +530,7 @@
         configuration = fleet.configuration()
         queues = configuration.by_name()
         if configuration.version != fleet.placed_with:
-            # Priorities and services may have changed.
+            # Priorities and services of queues may have changed.
             fleet.placed_with = configuration.version
             fleet.no_room.clear()
             fleet.no_victims.clear()
@@ -536,9 +551,10 @@
 
 def _usable_workers(fleet: state_mod.FleetState, now: float
                     ) -> list[workerstate.WorkerState]:
-    """Return the workers that may get new runs, and note the new ones.
+    """Return the workers that may get new runs; mark new ones as changed.
 
-    With an old list none may: the room of any may have shrunk since.
+    No worker is usable if the list of workers is outdated, because any of
+    them may have lost capacity since.
     """
     usable_workers = []
     list_is_new = now - fleet.listed_at <= state_mod.LIST_OLD_S
@@ -554,19 +570,19 @@
 
 
 def _record_arrival(round_: Round, state: progress.JobState) -> None:
-    """Learn from a job whose turn has come what comes how often."""
+    """Add a job that became ready to the estimate of demand."""
     state.seen_at = round_.now
     if state.created > round_.fleet.fence:
-        # Those of an earlier owner did not come just now.
+        # Jobs accepted under an earlier owner have not arrived just now.
         round_.fleet.demand.add_job(state.job, round_.now)
 
 
 def _place_job(round_: Round, state: progress.JobState,
                wall_ms: float) -> None:
-    """Start the tasks of a job whose turn has come.
+    """Start the ready tasks of a job.
 
-    A job of which nothing waits is passed over until one of its tasks is
-    idle again or done: on a full fleet that is most jobs.
+    A job without waiting tasks is skipped until one of its tasks becomes
+    idle or is done.  On a full fleet this applies to most jobs.
     """
     waits = state.lasting and state.down_since > 0.0
     for occurrence in range(state.job.occurrences()):
