--- a/bench/urgent_room.py
+++ b/bench/urgent_room.py
@@ -1,9 +1,9 @@
-"""Show how soon urgent jobs begin on a fleet that lasting jobs fill.
+"""Show how soon urgent jobs start on a fleet full of long-running jobs.
 
-20 workers of 32 cores, 18 lasting jobs of 6 tasks of 6.4 cores (they want 108%
-of the processors), urgent jobs of 1 to 11 tasks for 0.6 s.  Before room was
-kept for short work, all urgent jobs began late (95 of 100 not in 30 s) at each
-rate; see the output for the figures since.
+20 workers of 32 cores; 18 long-running jobs of 6 tasks of 6.4 cores, which
+request 108% of the CPU; urgent jobs of 1 to 11 tasks that run for 0.6 s.
+Without capacity kept for finite tasks all urgent jobs start late at each rate
+(p95 of the first start at least 30 s); the output shows both cases.
 """
 
 import os
@@ -21,22 +21,22 @@
 
 
 def measure(urgent_per_s: float, policy: policy_mod.Policy) -> None:
-    """Print what urgent and lasting jobs get at a rate of urgent ones."""
+    """Print the results of urgent and long-running jobs at a rate."""
     fleet = test_fleet_headroom.SimulatedFleet(LONG_RUNNING_JOBS, policy)
     fleet.run(WARM_UP_S)
     fleet.run(test_fleet_headroom.URGENT_LOAD_S, urgent_per_s)
     long_running_tasks = len(fleet.long_running_placements())
     headroom_label = "kept" if policy.keep_room_for_short_work else "none"
-    urgent_result = "none came"
+    urgent_result = "none arrived"
     if fleet.urgent_jobs:
         urgent_result = (f"{fleet.late_count()} of {fleet.urgent_jobs} late, "
                          f"p95 of the first start {fleet.p95_start_s():.1f} s")
-    print(f"{urgent_per_s:.1f} urgent jobs/s, room {headroom_label}: "
-          f"{urgent_result}; {long_running_tasks} lasting tasks at work")
+    print(f"{urgent_per_s:.1f} urgent jobs/s, capacity {headroom_label}: "
+          f"{urgent_result}; {long_running_tasks} long-running tasks started")
 
 
 def main() -> int:
-    """Measure each rate without and with room kept."""
+    """Measure each rate without and with capacity kept."""
     for urgent_per_s in RATES:
         for policy in (fleetfakes.NO_ROOM_KEPT, policy_mod.Policy()):
             measure(urgent_per_s, policy)
--- a/tests/test_fleet_headroom.py
+++ b/tests/test_fleet_headroom.py
@@ -1,4 +1,4 @@
-"""Show that short work finds room on a fleet that lasting tasks fill."""
+"""Test that finite tasks start on a fleet full of long-running tasks."""
 
 import collections
 import random
@@ -17,14 +17,14 @@
 CAPACITY = messages.Room(32_000, 128_000)
 LONG_RUNNING_STEP = messages.Step(6, messages.Room(6400, 13_000),
                                   perpetual=True)
-# An urgent task is to start within this.
+# An urgent task must start within this time.
 URGENT_START_LIMIT_S = 1.1
 URGENT_RUN_S = 0.6
 URGENT_LOAD_S = 30.0
 
 
 class SimulatedFleet:
-    """Let lasting jobs fill a fleet, then urgent jobs come at a rate."""
+    """A fleet full of long-running jobs at which urgent jobs arrive."""
 
     def __init__(self, long_running_jobs: int,
                  policy: policy_mod.Policy = policy_mod.Policy()) -> None:
@@ -39,7 +39,8 @@
         self.urgent_jobs = 0
         self.placements: list[str] = []
         for n in range(long_running_jobs):
-            self.bench.add(fleetfakes.job(f"lasting{n}", LONG_RUNNING_STEP),
+            self.bench.add(fleetfakes.job(f"long-running{n}",
+                                          LONG_RUNNING_STEP),
                            20 + n)
 
     def run(self, seconds: float, urgent_per_s: float = 0.0) -> None:
@@ -80,31 +81,30 @@
             self.bench.now = clock
 
     def long_running_placements(self) -> list[str]:
-        return [p for p in self.placements if p.startswith("lasting")]
+        return [p for p in self.placements if p.startswith("long-running")]
 
     def p95_start_s(self) -> float:
-        """Return within what time 95 of 100 urgent jobs begin."""
+        """Return the 95th percentile of the time to the first start."""
         start_waits_s = sorted(self.start_waits_s.get(job, URGENT_LOAD_S)
                                for job in self.arrived_at)
         return start_waits_s[int(0.95 * len(start_waits_s))]
 
     def late_count(self) -> int:
-        """Return how many urgent jobs did not begin in time."""
+        """Return how many urgent jobs did not start on time."""
         return sum(1 for job in self.arrived_at
                    if self.start_waits_s.get(job, URGENT_LOAD_S)
                    > URGENT_START_LIMIT_S)
 
 
 def test_urgent_jobs_start_on_time_beside_long_running_jobs():
-    """Keep the room that urgent short work needs free of lasting tasks.
-
-    Symptom: on a day without any fault, urgent jobs waited 9 s for their
-    first start (95 of 100) and a third was never served.  Events: lasting
-    jobs that want all of the fleet came before the first urgent one; their
-    tasks took every gap that they fit in and stayed.  Cause: priority only
-    orders those who wait; of a fleet that is full already it gives nothing.
-    Evidence: without the room kept all 61 urgent jobs of this load begin late,
-    with it none (p95 of the first start 0.5 s).
+    """Keep the capacity that urgent finite tasks need.
+
+    Guards against urgent jobs that wait for seconds (p95 of the first start
+    9 s, a third never served) although nothing has failed.  Long-running jobs
+    that request the whole fleet arrived first, and their tasks stayed on every
+    worker on which they fit.  Priority only orders waiting jobs; it gives them
+    nothing of a fleet that is already full.  Without kept capacity all 61
+    urgent jobs of this load start late, with it none (p95 0.5 s).
     """
     fleet = SimulatedFleet(long_running_jobs=18)
     fleet.run(5.0)
@@ -115,22 +115,22 @@
 
 @pytest.mark.parametrize("later_jobs", [0, 1])
 def test_every_long_running_job_gets_a_majority_of_its_tasks(later_jobs):
-    """Leave no lasting job with few tasks while others have all of theirs.
+    """Leave no long-running job with few tasks while others have all.
 
-    Symptom: users of two lasting jobs were not served at all for half a
-    minute, one that came with the others and one that came later.  Cause:
-    jobs took all of their tasks in the order in which they came, and those
-    that came last found nothing.
+    Guards against users of long-running jobs being without service for half a
+    minute, both of a job that arrives with the others and of one that arrives
+    later.  Jobs got all of their tasks in order of arrival, and nothing was
+    left for the last ones.
     """
     fleet = SimulatedFleet(long_running_jobs=18 - later_jobs)
     fleet.run(5.0)
     for n in range(18 - later_jobs, 18):
-        fleet.bench.add(fleetfakes.job(f"lasting{n}", LONG_RUNNING_STEP),
+        fleet.bench.add(fleetfakes.job(f"long-running{n}", LONG_RUNNING_STEP),
                         20 + n)
     fleet.run(2.0)
     counts = collections.Counter(
         p.split(".")[0] for p in fleet.long_running_placements())
-    assert min(counts[f"lasting{n}"] for n in range(18)) >= 4
+    assert min(counts[f"long-running{n}"] for n in range(18)) >= 4
 
 
 def test_kept_capacity_is_released_without_finite_tasks():
@@ -139,13 +139,13 @@
     first = len(fleet.long_running_placements())
     fleet.run(300.0)
     assert first < len(fleet.long_running_placements())
-    # Four tasks fill a worker but for 6.4 of its 32 cores, which a fifth
-    # takes once no room is kept.
+    # Four tasks use all but 6.4 of the 32 cores of a worker; a fifth uses
+    # these once no capacity is kept.
     assert len(fleet.long_running_placements()) == 5 * WORKERS
 
 
 def test_long_running_task_that_ran_may_use_kept_capacity():
-    """Let a lasting task come back at once: its users notice its absence."""
+    """Restart a long-running task at once: its users are without it."""
     fleet = SimulatedFleet(long_running_jobs=18)
     fleet.run(1.0)
     task, worker = fleet.long_running_placements()[0].split("@")
@@ -154,12 +154,12 @@
 
 
 def test_interrupted_task_restarts_while_other_tasks_of_its_step_wait():
-    """Try each task of a lasting step: only new ones have to leave room.
+    """Try each task of a long-running step: only new ones leave headroom.
 
-    Symptom would be a lasting task that stays down beside free room.  Events
-    would be a job of which some tasks have never run, and one of a higher
-    index that did loses its worker.  Cause would be to stop at the first
-    task of a step that finds no room.
+    Guards against a long-running task that stays down although it would fit.
+    This happens if a round stops at the first task of a step that can't be
+    placed: some tasks of a job have never run, and one with a higher index
+    that has run loses its worker.
     """
     fleet = SimulatedFleet(long_running_jobs=18)
     fleet.run(3.0)
@@ -169,23 +169,23 @@
     assert counts[job] < LONG_RUNNING_STEP.count
     state = fleet.bench.state.jobs[job]
     first, last = state.tasks[0, 0][0], state.tasks[0, 0][-1]
-    # As if the one with the highest index had run in place of the first.
+    # Simulate that the last task has run instead of the first.
     last.ran, first.ran = True, False
     fleet.bench.end(first.worker_id, str(first.task), 1, "lapsed")
     assert any(p.startswith(str(last.task)) for p in fleet.bench.place())
 
 
 def test_long_running_task_preempts_lower_priority_runs():
-    """Let lasting work of a higher priority take the room of patient work."""
+    """Preempt low-priority runs for a long-running task."""
     bench = test_fleet_state.Bench(*(
         fleetfakes.entry(n, capacity=CAPACITY) for n in range(4)))
-    bench.add(fleetfakes.job("patient", messages.Step(
+    bench.add(fleetfakes.job("low-priority", messages.Step(
         16, messages.Room(8000, 10)), queue="renewals", priority=2))
     bench.place()
-    bench.add(fleetfakes.job("lasting", LONG_RUNNING_STEP), 21)
+    bench.add(fleetfakes.job("long-running", LONG_RUNNING_STEP), 21)
     bench.place()
     victims = bench.stops()
-    assert victims and all(name.startswith("patient") for name in victims)
+    assert victims and all(name.startswith("low-priority") for name in victims)
 
 
 def test_no_capacity_is_kept_for_lower_priority_tasks():
@@ -201,7 +201,8 @@
 
 
 @pytest.mark.parametrize(("per_s", "count", "seconds", "least", "most"), [
-    # The mean is rate x cores x seconds; room beyond it follows the swing.
+    # The mean is rate x cores x seconds; what is kept beyond it depends on
+    # the variance.
     (2.0, 1, 1.0, 6.0, 14.0),
     (2.0, 8, 1.0, 48.0, 110.0),
     (0.1, 30, 1.0, 9.0, 60.0),
@@ -245,11 +246,11 @@
                          ids=["earlier-owner", "own"])
 def test_jobs_accepted_under_an_earlier_owner_do_not_count_as_arrivals(
         created, is_counted):
-    """Learn rates only from jobs that arrive while this process looks.
+    """Estimate arrival rates only from jobs that arrive under this owner.
 
-    Symptom: after a change of owner a quarter of the fleet was kept free,
-    and lasting jobs waited beside it for half a minute.  Cause: all jobs of
-    the last minutes were read at once and counted as arrivals of one moment.
+    Guards against keeping a quarter of the fleet free after a change of owner
+    while long-running jobs wait for half a minute.  A new owner reads all jobs
+    of the last minutes at once; they must not count as arriving together.
     """
     bench = test_fleet_state.Bench(fleetfakes.entry(0))
     bench.add(fleetfakes.job("j", messages.Step(
@@ -258,19 +259,20 @@
     assert bool(bench.state.demand.arrivals) is is_counted
 
 
-@pytest.mark.parametrize(("gap_s", "least", "most"), [
-    # In 20 s one comes every 5 s; of the others none is expected.
+@pytest.mark.parametrize(("interval_s", "least", "most"), [
+    # With one arrival every 5 s, 4 are expected in 20 s; else none is.
     (0.0, 0.0, 1.0), (5.0, 3.0, 5.0), (200.0, 0.0, 1.0),
 ], ids=["all-at-once", "one-by-one", "rarely"])
-def test_capacity_kept_for_new_jobs_depends_on_their_arrival_rate(gap_s, least,
+def test_capacity_kept_for_new_jobs_depends_on_their_arrival_rate(interval_s,
+                                                                  least,
                                                                   most):
-    """Count lasting jobs that come together once: they tell no rate."""
+    """Count long-running jobs that arrive together as one arrival."""
     estimator = demand.DemandEstimator()
     estimator.start_observing(0.0)
     for n in range(30):
         estimator.add_job(fleetfakes.job(f"l{n}", LONG_RUNNING_STEP),
-                          gap_s * n)
+                          interval_s * n)
     majority = 4 * LONG_RUNNING_STEP.room.cpu
-    now = 29.5 * gap_s if gap_s else 30.0
+    now = 29.5 * interval_s if interval_s else 30.0
     assert (least <= estimator.kept_for_new_jobs_cpu(1e9, now) / majority
             <= most)
--- a/tests/test_fleet_ordering.py
+++ b/tests/test_fleet_ordering.py
@@ -1,4 +1,4 @@
-"""Show in which order jobs take room on a full fleet."""
+"""Test the order in which jobs get capacity on a full fleet."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 QUEUES = {"checks": messages.Queue("checks", "h", "/c/", "desk", 0, 2,
                                    stretch=2.0, slo_ms=500.0)}
-# Two steps of a second each: 4,500 ms are in time.
+# Two steps of one second each: up to 4,500 ms are on time.
 STEPS = (messages.Step(1, estimate_ms=1000),
          messages.Step(1, estimate_ms=1000, after=(0,)))
 
@@ -37,24 +37,24 @@
 
 
 def test_on_time_jobs_go_first_and_long_running_jobs_last():
-    long_running = job_state("lasting", 0.0, messages.Step(1, perpetual=True),
-                             created=0)
+    long_running = job_state("long-running", 0.0,
+                             messages.Step(1, perpetual=True), created=0)
     late = job_state("late", 0.0, created=1)
-    newer = job_state("fresh", 9000.0, created=3)
+    newer = job_state("newer", 9000.0, created=3)
     older = job_state("older", 8000.0, created=2)
     order = ordering.sort_jobs(
         [long_running, late, newer, older], QUEUES, 10_000.0, 100.0)
-    assert [s.job.job_id for s in order] == ["older", "fresh", "late",
-                                             "lasting"]
+    assert [s.job.job_id for s in order] == ["older", "newer", "late",
+                                             "long-running"]
 
 
 def test_priority_takes_precedence_over_lateness():
     queues = {**QUEUES, "renewals": messages.Queue(
         "renewals", "h", "/r/", "desk", 2, 2, stretch=2.0, slo_ms=500.0)}
     late = job_state("late", 0.0)
-    low_priority = job_state("patient", 10_000.0, queue="renewals")
+    low_priority = job_state("low-priority", 10_000.0, queue="renewals")
     order = ordering.sort_jobs([low_priority, late], queues, 10_000.0, 100.0)
-    assert [s.job.job_id for s in order] == ["late", "patient"]
+    assert [s.job.job_id for s in order] == ["late", "low-priority"]
 
 
 def long_running_job(name, created, ran):
@@ -67,21 +67,21 @@
 
 
 @pytest.mark.parametrize(("down_s", "expected"), [
-    (0.0, ["fresh", "hopeless", "new", "down"]),
-    (ordering.BOOST_AFTER_DOWN_S, ["down", "fresh", "hopeless", "new"]),
-], ids=["just-now", "for-seconds"])
+    (0.0, ["newer", "too-late", "new", "down"]),
+    (ordering.BOOST_AFTER_DOWN_S, ["down", "newer", "too-late", "new"]),
+], ids=["down-just-now", "down-for-seconds"])
 def test_interrupted_long_running_job_goes_before_finite_jobs(down_s,
                                                               expected):
-    """Restart a lasting task before short tasks take its room for ever.
+    """Restart an interrupted long-running task before finite tasks.
 
-    Symptom: lasting tasks stayed down for 16 s after their worker had left,
-    though room for them came free again and again.  Events: three of 33
-    workers left; what lasts then reserved 97% of the rest; short jobs, most
-    of them too late to count, took each gap.  Cause: every short job went
-    before every lasting one.
+    Guards against long-running tasks that stay down (for 16 s) after their
+    worker has left, although capacity for them is freed repeatedly.  With 3 of
+    33 workers gone and 97% of the rest reserved by long-running tasks, finite
+    jobs, most of them too late to count, took all capacity that became free,
+    because every finite job went before every long-running one.
     """
-    jobs = [job_state("fresh", 19_000.0, created=1),
-            job_state("hopeless", 0.0),
+    jobs = [job_state("newer", 19_000.0, created=1),
+            job_state("too-late", 0.0),
             long_running_job("new", 2, False),
             long_running_job("down", 3, True)]
     ordering.sort_jobs(jobs, QUEUES, 20_000.0, 100.0)
--- a/tests/test_fleet_placement_cache.py
+++ b/tests/test_fleet_placement_cache.py
@@ -1,4 +1,4 @@
-"""Show that rounds which remember place exactly as rounds that don't."""
+"""Test that cached searches place tasks exactly as full searches do."""
 
 import dataclasses
 import random
@@ -13,14 +13,15 @@
 
 WORKERS = 14
 ITERATIONS = 220
-# Weights learnt at one worker change what fits on others; without learning
-# only a worker's own changes do, and both ways must agree to the letter.
+# With learnt weights a report of one worker changes what fits on others.  If
+# learning is disabled, only changes of a worker itself do, and the orders of
+# both fleets must be identical.
 UNCACHED = policy_mod.Policy(learn_weights=False, remember_shortage=False)
 CACHED = dataclasses.replace(UNCACHED, remember_shortage=True)
 
 
 class TwinFleets:
-    """Play the same events on a plain and a remembering fleet."""
+    """Two fleets, one with cached searches, that get the same events."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
@@ -38,20 +39,21 @@
     def add_job(self) -> None:
         rng = self.rng
         self.created += 1
-        job_kind = rng.choice(("short", "short", "filling", "lasting"))
-        room = messages.Room(rng.randrange(500, 6000, 250),
-                             rng.choice((500, 2000)))
+        job_kind = rng.choice(
+            ("finite", "finite", "best-effort", "long-running"))
+        request = messages.Room(rng.randrange(500, 6000, 250),
+                                rng.choice((500, 2000)))
         step = {
-            "short": messages.Step(rng.randrange(1, 6), room,
-                                   estimate_ms=800,
-                                   max_per_worker=rng.choice((0, 0, 1))),
-            "filling": messages.Step(
-                rng.randrange(1, 9), room, fills=True, estimate_ms=2000,
+            "finite": messages.Step(rng.randrange(1, 6), request,
+                                    estimate_ms=800,
+                                    max_per_worker=rng.choice((0, 0, 1))),
+            "best-effort": messages.Step(
+                rng.randrange(1, 9), request, fills=True, estimate_ms=2000,
                 image=f"f{rng.randrange(3)}"),
-            "lasting": messages.Step(
-                rng.randrange(1, 5), room, perpetual=True, target_ms=50.0,
+            "long-running": messages.Step(
+                rng.randrange(1, 5), request, perpetual=True, target_ms=50.0,
                 image=f"s{rng.randrange(3)}")}[job_kind]
-        queue = "checks" if job_kind == "short" else rng.choice(
+        queue = "checks" if job_kind == "finite" else rng.choice(
             ("checks", "renewals"))
         job = fleetfakes.job(f"j{self.created}", step, queue=queue,
                              priority=0 if queue == "checks" else 2)
@@ -59,7 +61,7 @@
             bench.add(job, self.created)
 
     def report(self) -> None:
-        """Let a worker report, some of its runs ended."""
+        """Let a worker report; some of its runs have ended."""
         worker_id = self.rng.choice(list(self.last_end_numbers))
         worker = self.uncached.state.workers[worker_id]
         rows, ended = [], []
@@ -79,7 +81,7 @@
             bench.report(worker_id, rows, ended)
 
     def change_worker(self) -> None:
-        """Let a worker drain, come back, or be avoided for a while."""
+        """Let a worker drain, stop draining, or be avoided for a while."""
         worker_id = self.rng.choice(list(self.last_end_numbers))
         entry = self.uncached.state.workers[worker_id].entry
         drains = self.rng.random() < 0.5
--- a/tests/test_fleet_round_cost.py
+++ b/tests/test_fleet_round_cost.py
@@ -1,4 +1,4 @@
-"""Show how much an owner looks at while a full fleet has no room to give."""
+"""Test how many workers rounds examine on a full fleet."""
 
 import pytest
 
@@ -11,11 +11,11 @@
 
 
 def full_fleet(jobs: int) -> test_fleet_state.Bench:
-    """Fill all workers with lasting tasks; let jobs wait, each of a width."""
+    """Fill all workers; let jobs wait that each request different CPU."""
     bench = test_fleet_state.Bench(
         *(fleetfakes.entry(n) for n in range(WORKERS)),
         policy=fleetfakes.NO_ROOM_KEPT)
-    bench.add(fleetfakes.job("lasting", messages.Step(
+    bench.add(fleetfakes.job("long-running", messages.Step(
         WORKERS, messages.Room(3900, 10), perpetual=True)))
     bench.place()
     for n in range(jobs):
@@ -28,17 +28,17 @@
 @pytest.mark.parametrize(("few", "many"), [(20, 80), (50, 200)])
 def test_cost_of_a_round_on_a_full_fleet_does_not_grow_with_waiting_jobs(
         few, many, monkeypatch):
-    """Look at the fleet once for all who wait, not once for each.
+    """Search the fleet once for all waiting jobs, not once for each.
 
-    Symptom: callers waited for seconds, leases of running tasks lapsed, and
-    lasting tasks stayed down, while the owner used all the processor time
-    that its VM has, a weak one as well as a strong one.  Events: the fleet
-    was full, jobs queued up, and each round searched every worker for every
-    width that waits, twice: for room, and for runs that could give way.
-    Cause: the work of a round grew with workers times waiting steps, so the
-    fuller the fleet, the later the reports that would have shown room.
-    Evidence: with 176 workers and 80 waiting jobs a round that placed nothing
-    took 53 ms of a whole core, and every report of a worker called for one.
+    Guards against an owner that uses all the CPU time of its VM, weak or
+    strong, so that callers wait for seconds, leases of running tasks expire
+    and long-running tasks stay down.  On a full fleet with queued jobs each
+    round searched every worker for every waiting request, twice: for capacity
+    and for runs to preempt.  The cost of a round grew with workers times
+    waiting steps, so the fuller the fleet, the later the owner handled the
+    reports that showed free capacity.  With 176 workers and 80 waiting jobs a
+    round that placed nothing took 53 ms of a whole core, and every report of a
+    worker requested a round.
     """
     free_calls = []
     free = workerstate.WorkerState.free
@@ -59,16 +59,16 @@
 
 @pytest.mark.parametrize(("running", "round_needed"), [(True, False),
                                                        (False, True)],
-                         ids=["nothing-new", "an-end"])
+                         ids=["unchanged", "run-ended"])
 def test_report_without_changes_does_not_request_a_round(running,
                                                          round_needed):
-    """Plan again when something has changed, not with each report.
+    """Run a round only if a report changes something.
 
-    Symptom and cause as above: 176 workers send 150 to 400 reports a second,
-    so that rounds followed each other without a pause.
+    Guards against rounds that follow each other without a pause, with the
+    effects described above: 176 workers send 150 to 400 reports a second.
     """
     bench = full_fleet(1)
-    name = messages.TaskId("lasting", 0, 0, 0)
+    name = messages.TaskId("long-running", 0, 0, 0)
     (worker,) = [w for w in bench.state.workers.values()
                  if (name, 1) in w.tasks]
     worker_id = worker.entry.worker_id
--- a/tests/test_fleet_starvation.py
+++ b/tests/test_fleet_starvation.py
@@ -1,4 +1,4 @@
-"""Show that a wide lasting task finds room beside a stream of narrow ones."""
+"""Test that narrow finite tasks do not starve a wide long-running one."""
 
 import pytest
 
@@ -7,18 +7,18 @@
 from tests import fleetfakes
 from tests import test_fleet_state
 
-# A lasting task that is down for longer than this, with room for it, is
-# lost to its users.
+# A long-running task that is down for longer than this although capacity for
+# it exists counts as lost to its users.
 LOST_AFTER_S = 9.0
-# Short tasks last between half of this and all of it.
+# Finite tasks run for half of this to all of it.
 MAX_RUN_S = 1.6
 BACKLOG = 40
-# Spreads the lengths evenly: the fractions of its multiples never repeat.
+# Spreads run times evenly, as the fractions of its multiples never repeat.
 GOLDEN_RATIO = 0.618034
 
 
 class FiniteTaskStream:
-    """Keep two workers busy with short tasks while a wide one waits."""
+    """Two workers kept busy with finite tasks while a wide task waits."""
 
     def __init__(self, narrow_cpu: int) -> None:
         self.bench = test_fleet_state.Bench(
@@ -38,7 +38,7 @@
         self.bench.end(worker, task, self.last_end_numbers[worker], how, run)
 
     def step(self) -> list[str]:
-        """Let some time pass; return what was placed."""
+        """Advance the time by one round; return what was placed."""
         for placement, at in list(self.run_ends.items()):
             if self.bench.now >= at:
                 del self.run_ends[placement]
@@ -46,12 +46,12 @@
         while len(self.bench.state.active) < BACKLOG:
             self.job_count += 1
             self.bench.add(fleetfakes.job(
-                f"short{self.job_count}",
+                f"finite{self.job_count}",
                 messages.Step(1, messages.Room(self.narrow_cpu, 10))),
                 100 + self.job_count)
         placed = self.bench.place()
         for placement in placed:
-            if placement.startswith("short"):
+            if placement.startswith("finite"):
                 run_share = 0.5 + 0.5 * (self.job_count * GOLDEN_RATIO % 1.0)
                 self.job_count += 1
                 self.run_ends[placement] = (
@@ -64,35 +64,35 @@
 ])
 def test_wide_long_running_task_restarts_beside_a_stream_of_narrow_tasks(
         narrow_cpu, wide_cpu):
-    """Keep a gap open for a lasting task that is down.
+    """Reserve a worker for a long-running task that is down.
 
-    Symptom: users were without a lasting task for 55 s, though processors
-    came free all the time.  Events: its lease lapsed while the owner changed;
-    short jobs filled the fleet meanwhile; each short task that ended left a
-    gap narrower than the lasting task, and the next short task took it.
-    Cause: the task that goes first got no claim to a gap that was still too
-    narrow for it, so those behind it took every part of it.
-    Evidence: on two workers of 4 cores, each kept busy by tasks of 1 core, a
-    lasting task of 3 cores is not back in 9 s and one of 4 not in 60 s.
+    Guards against a long-running task that stays down (for 55 s) while CPU
+    becomes free all the time.  Its lease expired during a change of owner, and
+    finite jobs filled the fleet.  Each finite task that ended freed less than
+    the long-running task requests, and the next finite task used it, because
+    nothing reserved capacity that was not yet enough for the first task.
+    Without reservations, on two workers of 4 cores kept busy by tasks of 1
+    core, a task of 3 cores is not restarted within 9 s and one of 4 cores not
+    within 60 s.
     """
     stream = FiniteTaskStream(narrow_cpu)
-    stream.bench.add(fleetfakes.job("lasting", messages.Step(
+    stream.bench.add(fleetfakes.job("long-running", messages.Step(
         1, messages.Room(wide_cpu, 10), perpetual=True)))
     (placement,) = stream.bench.place()
     stream.end(placement, "lapsed")
     down_at = stream.bench.now
     while stream.bench.now < down_at + LOST_AFTER_S:
         placed = stream.step()
-        if any(name.startswith("lasting") for name in placed):
+        if any(name.startswith("long-running") for name in placed):
             break
     assert stream.bench.now < down_at + LOST_AFTER_S
     assert stream.bench.now >= down_at + ordering.BOOST_AFTER_DOWN_S
 
 
 def test_finite_tasks_still_start_on_unreserved_workers():
-    """Hold back no more than the workers that a lasting task waits for."""
+    """Reserve no more workers than a long-running task needs."""
     stream = FiniteTaskStream(1000)
-    stream.bench.add(fleetfakes.job("lasting", messages.Step(
+    stream.bench.add(fleetfakes.job("long-running", messages.Step(
         1, messages.Room(3000, 10), perpetual=True)))
     (placement,) = stream.bench.place()
     stream.end(placement, "lapsed")
