--- a/sycamorefield/fleet/demand.py
+++ b/sycamorefield/fleet/demand.py
@@ -112,7 +112,7 @@
         # of a core.
         self.majority_cpu = RecentMean()
         # Arrivals of long-running jobs; those that arrive together count once.
-        self.batches = 0.0
+        self.arrived_batches = 0.0
         self.last_batch_at = 0.0
 
     def start_observing(self, now: float) -> None:
@@ -135,8 +135,9 @@
 
     def _add_long_running(self, step: messages.Step, now: float) -> None:
         self.majority_cpu.add(majority(step) * step.room.cpu)
-        if not self.batches or now - self.last_batch_at >= BATCH_WINDOW_S:
-            self.batches += 1.0
+        if (not self.arrived_batches
+                or now - self.last_batch_at >= BATCH_WINDOW_S):
+            self.arrived_batches += 1.0
             self.last_batch_at = now
 
     def add_run(self, queue: str, run_s: float) -> None:
@@ -153,7 +154,7 @@
     def _decay(self, now: float) -> None:
         factor = 0.5 ** ((now - self.decayed_at) / HALF_LIFE_S)
         self.decayed_at = now
-        self.batches *= factor
+        self.arrived_batches *= factor
         for arrivals in self.arrivals.values():
             arrivals.decay(factor)
 
@@ -187,7 +188,7 @@
         Enough for a majority of their tasks, in thousandths of a core.
         """
         factor = 0.5 ** ((now - self.decayed_at) / HALF_LIFE_S)
-        rate = self.batches * factor / self._observed_s(now)
+        rate = self.arrived_batches * factor / self._observed_s(now)
         return min(MAX_NEW_JOBS_SHARE * capacity_cpu,
                    rate * NEW_JOBS_LOOKAHEAD_S * self.majority_cpu.mean())
 
@@ -198,9 +199,9 @@
     def _observed_s(self, now: float) -> float:
         """Return the time that the decayed sums stand for."""
         full_window_s = HALF_LIFE_S / math.log(2.0)
-        elapsed_s = full_window_s * \
-            (1.0 - 0.5 ** (self._age_s(now) / HALF_LIFE_S))
-        return max(MIN_OBSERVED_S, elapsed_s)
+        decayed_window_s = full_window_s * (
+            1.0 - 0.5 ** (self._age_s(now) / HALF_LIFE_S))
+        return max(MIN_OBSERVED_S, decayed_window_s)
 
     def mean_task_cpu(self, priority: int) -> float:
         """Return the mean CPU of a finite task, in thousandths of a core."""
--- a/sycamorefield/fleet/rounds.py
+++ b/sycamorefield/fleet/rounds.py
@@ -106,12 +106,12 @@
         else:
             self._place_tasks(state, tasks, startable, eligible)
         if eligible.tickets is not None:
-            self._ask_advice(state, startable, eligible)
+            self._request_advice(state, startable, eligible)
         return True
 
-    def _ask_advice(self, state: progress.JobState,
-                    tasks: list[progress.TaskState],
-                    eligible: EligibleWorkers) -> None:
+    def _request_advice(self, state: progress.JobState,
+                        tasks: list[progress.TaskState],
+                        eligible: EligibleWorkers) -> None:
         """Request advice on more workers if tasks of a step are unplaced."""
         queue = self.queues[state.job.queue]
         unplaced = [t for t in tasks if t.phase == progress.IDLE]
--- a/tests/test_fleet_starvation.py
+++ b/tests/test_fleet_starvation.py
@@ -14,7 +14,7 @@
 MAX_RUN_S = 1.6
 BACKLOG = 40
 # Spreads run times evenly, as the fractions of its multiples never repeat.
-GOLDEN_RATIO = 0.618034
+GOLDEN_FRACTION = 0.618034
 
 
 class FiniteTaskStream:
@@ -52,7 +52,8 @@
         placed = self.bench.place()
         for placement in placed:
             if placement.startswith("finite"):
-                run_share = 0.5 + 0.5 * (self.job_count * GOLDEN_RATIO % 1.0)
+                run_share = 0.5 + 0.5 * \
+                    (self.job_count * GOLDEN_FRACTION % 1.0)
                 self.job_count += 1
                 self.run_ends[placement] = (
                     self.bench.now + MAX_RUN_S * run_share)
