--- a/sycamorefield/fleet/placing.py
+++ b/sycamorefield/fleet/placing.py
@@ -98,8 +98,8 @@
         return None
     has_data_nearby = not step.affinity or step.affinity in worker.entry.labels
     not_failed_here = worker.entry.worker_id not in task.avoid
-    return (not_failed_here, has_data_nearby, *
-            _packing_rank(worker, step, model))
+    return (not_failed_here, has_data_nearby,
+            *_packing_rank(worker, step, model))
 
 
 class Ranking:
@@ -136,8 +136,8 @@
             if rank is None:
                 heapq.heappop(self.heap)
             else:
-                heapq.heapreplace(
-                    self.heap, _heap_entry(rank, position, worker))
+                heapq.heapreplace(self.heap,
+                                  _heap_entry(rank, position, worker))
         return None
 
 
--- a/sycamorefield/fleet/reservations.py
+++ b/sycamorefield/fleet/reservations.py
@@ -51,8 +51,8 @@
         task_id = task.task
         running_here = worker.count_of(
             task_id.job_id, task_id.occurrence, task_id.step)
-        return running_here + \
-            self.reserved_tasks[task_id.step_id()] < step.max_per_worker
+        return (running_here + self.reserved_tasks[task_id.step_id()]
+                < step.max_per_worker)
 
 
 class Reservations:
--- a/sycamorefield/fleet/rounds.py
+++ b/sycamorefield/fleet/rounds.py
@@ -63,8 +63,8 @@
         self.worker_count = len(usable_workers) + len(fleet.trials.by_worker)
         self.now = now
         self.policy = fleet.policy
-        # Requests that fit on no worker now, and those for which capacity is
-        # neither being freed nor can be freed by preemption.
+        # Requests that fit on no worker now, and those of them for which no
+        # capacity is being freed or can be freed by preemption.
         remember_searches = self.policy.remember_shortage
         self.unplaceable = placement_cache.UnplaceableRequests(
             remember_searches)
@@ -132,9 +132,9 @@
         if queue is None or queue.advice is None:
             return EligibleWorkers(service, self.usable_workers)
         tickets = self.fleet.advice.valid(task.task.step_id(), self.now)
-        return EligibleWorkers(service, [w for w in self.usable_workers
-                                         if w.entry.worker_id in tickets],
-                               tickets)
+        return EligibleWorkers(
+            service, [w for w in self.usable_workers
+                      if w.entry.worker_id in tickets], tickets)
 
     def _place_tasks(self, state: progress.JobState,
                      tasks: list[progress.TaskState],
@@ -192,10 +192,10 @@
         expects_capacity = self._expects_capacity(state, task, eligible, scope)
         if (self.policy.keep_gaps and task.ran
                 and ordering.is_interrupted(state, self.now)):
-            return self._reserve_worker(
-                task, eligible, scope) or expects_capacity
-        # Long-running tasks of one step are treated differently, depending
-        # on whether they have run before.
+            return (self._reserve_worker(task, eligible, scope)
+                    or expects_capacity)
+        # Of a long-running step, other tasks may still be placed: those that
+        # have run before differ from those that have not.
         return expects_capacity or task.step.perpetual
 
     def _choose_worker(self, task: progress.TaskState,
@@ -219,7 +219,7 @@
                            eligible: EligibleWorkers,
                            scope: placement_cache.SearchScope
                            ) -> list[workerstate.WorkerState]:
-        """Return the workers on which a task may fit since the last search."""
+        """Return the workers on which a task may fit by now."""
         if eligible.tickets is not None or not self.policy.remember_shortage:
             return eligible.workers
         return self.fleet.no_room.workers_to_search(scope, task.step.room,
@@ -425,9 +425,9 @@
                                    eligible: EligibleWorkers
                                    ) -> list[workerstate.WorkerState]:
         """Return workers to quarantine, preferably without recent starts."""
-        without_young_runs = [worker for worker in eligible.workers
-                              if not trials.has_young_run(worker, self.now)]
-        for workers in (without_young_runs, eligible.workers):
+        without_recent_starts = [worker for worker in eligible.workers
+                                 if not trials.has_young_run(worker, self.now)]
+        for workers in (without_recent_starts, eligible.workers):
             if tasks[0].step.gang:
                 chosen = gangs.choose(tasks, eligible.service, workers)
             else:
--- a/tests/test_fleet_headroom.py
+++ b/tests/test_fleet_headroom.py
@@ -39,9 +39,8 @@
         self.urgent_jobs = 0
         self.placements: list[str] = []
         for n in range(long_running_jobs):
-            self.bench.add(fleetfakes.job(f"long-running{n}",
-                                          LONG_RUNNING_STEP),
-                           20 + n)
+            self.bench.add(
+                fleetfakes.job(f"long-running{n}", LONG_RUNNING_STEP), 20 + n)
 
     def run(self, seconds: float, urgent_per_s: float = 0.0) -> None:
         until = self.bench.now + seconds
@@ -136,9 +135,9 @@
 def test_kept_capacity_is_released_without_finite_tasks():
     fleet = SimulatedFleet(long_running_jobs=17)
     fleet.run(1.0)
-    first = len(fleet.long_running_placements())
+    initial_count = len(fleet.long_running_placements())
     fleet.run(300.0)
-    assert first < len(fleet.long_running_placements())
+    assert initial_count < len(fleet.long_running_placements())
     # Four tasks use all but 6.4 of the 32 cores of a worker; a fifth uses
     # these once no capacity is kept.
     assert len(fleet.long_running_placements()) == 5 * WORKERS
@@ -263,9 +262,8 @@
     # With one arrival every 5 s, 4 are expected in 20 s; else none is.
     (0.0, 0.0, 1.0), (5.0, 3.0, 5.0), (200.0, 0.0, 1.0),
 ], ids=["all-at-once", "one-by-one", "rarely"])
-def test_capacity_kept_for_new_jobs_depends_on_their_arrival_rate(interval_s,
-                                                                  least,
-                                                                  most):
+def test_capacity_kept_for_new_jobs_depends_on_their_arrival_rate(
+        interval_s, least, most):
     """Count long-running jobs that arrive together as one arrival."""
     estimator = demand.DemandEstimator()
     estimator.start_observing(0.0)
