--- a/sycamorefield/fleet/demand.py
+++ b/sycamorefield/fleet/demand.py
@@ -1,10 +1,10 @@
-"""Follow how many processors short work needs, by what arrives and ends.
+"""Estimate the CPU that finite tasks need, from their arrivals and run times.
 
-Answers the load of a fleet that lasting tasks fill: they stay for minutes, so
-the room that short work needs must be kept before they start.  What a stream
-of steps needs at a time follows from its rate, width and run time (shot
-noise): a step that takes c cores for s seconds adds c*s/T to the mean and
-c*c*s/T to the variance of the cores in use, over T seconds observed.
+Long-running tasks stay for minutes and could fill the fleet, so capacity for
+finite tasks must be kept free before they start.  The CPU that a stream of
+steps uses at a time follows from arrival rate, CPU and run time (shot noise):
+a step that takes c cores for s seconds adds c*s/T to the mean and c*c*s/T to
+the variance of the cores in use, over T seconds observed.
 """
 
 import dataclasses
@@ -12,71 +12,72 @@
 
 from sycamorefield.fleet import messages
 
-# Arrivals count half after this long: a swing of the load over a quarter of
-# a minute is averaged, a change of the load is followed within a minute.
+# After this time an arrival has half its weight.  Swings of the load over 15 s
+# are averaged; a persistent change is followed within a minute.
 HALF_LIFE_S = 30.0
-# Sums over less than this say little: steps come with 1 to 36 tasks.
-LEAST_OBSERVED_S = 8.0
-# Room kept beyond the mean, in standard deviations.  A core-second is worth
-# about four times as much to a waiting caller as to a lasting job, so room
-# pays that is in use a quarter of the time or more.
-DEVIATIONS = 1.0
-# Before arrivals tell, this share of the processors is kept; without any
-# short work it halves every FIRST_HALF_LIFE_S.
-FIRST_SHARE = 0.10
-FIRST_HALF_LIFE_S = 60.0
-# At most this share is kept, whatever arrives.
-MOST_SHARE = 0.25
-# Lasting jobs that come within this of each other count as one arrival: many
-# are handed in at once when a deployment starts, which tells no rate.
-BATCH_S = 1.0
-# Room is kept for the lasting jobs that come within this: what the others
-# take beyond a majority of their tasks comes back only when jobs leave, which
-# takes minutes.
-AHEAD_S = 20.0
-# At most this share is kept for lasting jobs to come.
-MOST_AHEAD = 0.10
-# A mean is over about this many values: enough for run times that differ by
-# half, and a minute of some arrivals a second.
-VALUES_IN_MEAN = 200
-# The width of a short task before any has been seen, thousandths of a core.
-FIRST_WIDTH = 3000.0
+# Sums over less time vary too much, as steps have 1 to 36 tasks.
+MIN_OBSERVED_S = 8.0
+# Capacity kept beyond the mean, in standard deviations.  A core-second is
+# worth about four times as much to a waiting caller as to a long-running job,
+# so it pays to keep capacity that is used at least a quarter of the time.
+HEADROOM_DEVIATIONS = 1.0
+# Share of the CPU that is kept before arrivals have been observed.  Without
+# finite tasks it halves every INITIAL_HALF_LIFE_S.
+INITIAL_SHARE = 0.10
+INITIAL_HALF_LIFE_S = 60.0
+# Largest share of the CPU kept for finite tasks.
+MAX_SHARE = 0.25
+# Long-running jobs that arrive within this time of each other count as one
+# arrival: when a deployment starts, many are submitted at once, which says
+# nothing about the rate.
+BATCH_WINDOW_S = 1.0
+# Capacity is kept for the long-running jobs expected within this time: what
+# others use beyond a majority of their tasks is freed only when jobs end,
+# which takes minutes.
+NEW_JOBS_LOOKAHEAD_S = 20.0
+# Largest share of the CPU kept for long-running jobs that are expected.
+MAX_NEW_JOBS_SHARE = 0.10
+# Number of values in a recent mean: enough for run times that vary by half,
+# and about a minute at some arrivals per second.
+MEAN_WINDOW = 200
+# CPU of a finite task before any has arrived, in thousandths of a core.
+INITIAL_TASK_CPU = 3000.0
 
 
 @dataclasses.dataclass(slots=True)
 class Arrivals:
-    """Hold sums over steps that arrived: cores in thousandths, seconds."""
+    """Sums over the steps that arrived, in thousandths of a core and s."""
 
-    core_s: float = 0.0
-    core2_s: float = 0.0
-    # Sums that give the width of a task, weighted by its core-seconds.
-    width_core_s: float = 0.0
+    cpu_s: float = 0.0
+    squared_cpu_s: float = 0.0
+    # CPU of one task, weighted by the CPU time of its step.
+    weighted_task_cpu_s: float = 0.0
 
-    def fade(self, factor: float) -> None:
-        """Let what has arrived so far count less."""
-        self.core_s *= factor
-        self.core2_s *= factor
-        self.width_core_s *= factor
+    def decay(self, factor: float) -> None:
+        """Reduce the weight of past arrivals."""
+        self.cpu_s *= factor
+        self.squared_cpu_s *= factor
+        self.weighted_task_cpu_s *= factor
 
-    def add(self, step: messages.Step, seconds: float) -> None:
-        """Add a step whose tasks take so many seconds."""
+    def add(self, step: messages.Step, run_s: float) -> None:
+        """Add a step with a run time per task in seconds."""
         cpu = float(step.room.cpu)
-        cores = cpu * step.count
-        self.core_s += cores * seconds
-        self.core2_s += cores * cores * seconds
-        self.width_core_s += cpu * cores * seconds
+        step_cpu = cpu * step.count
+        self.cpu_s += step_cpu * run_s
+        self.squared_cpu_s += step_cpu * step_cpu * run_s
+        self.weighted_task_cpu_s += cpu * step_cpu * run_s
 
 
 @dataclasses.dataclass(slots=True)
-class Mean:
-    """Hold the mean of what was seen lately (0 before anything was)."""
+class RecentMean:
+    """Mean of recent values; 0 before the first value."""
 
     total: float = 0.0
     count: int = 0
 
     def add(self, value: float) -> None:
-        """Take in a value; beyond some number older ones count less."""
-        if self.count < VALUES_IN_MEAN:
+        """Add a value; beyond MEAN_WINDOW values older ones lose weight."""
+        if self.count < MEAN_WINDOW:
             self.count += 1
         else:
             self.total -= self.mean()
@@ -88,119 +89,125 @@
 
 
 def majority(step: messages.Step) -> int:
-    """Return how many tasks of a lasting step its users need at least."""
+    """Return how many tasks of a long-running step its users need."""
     return step.count // 2 + 1
 
 
-def is_short(step: messages.Step) -> bool:
-    """Tell whether a step's tasks reserve processors and end."""
+def is_finite(step: messages.Step) -> bool:
+    """Return whether the tasks of a step reserve CPU and end by themselves."""
     return not step.perpetual and not step.fills
 
 
-class Demand:
-    """Learn what short work of each priority needs."""
+class DemandEstimator:
+    """Estimate the CPU that finite tasks of each priority need."""
 
     def __init__(self) -> None:
-        # When arrivals were first looked at, and when sums were last faded.
-        self.began: float | None = None
-        self.faded = 0.0
+        # When observation began, and when the sums were last decayed.
+        self.observed_since: float | None = None
+        self.decayed_at = 0.0
         self.arrivals: dict[int, Arrivals] = {}
-        # How long runs of a queue took, in seconds.
-        self.run_times: dict[str, Mean] = {}
-        # Thousandths of a core that most of the tasks of a lasting job take.
-        self.lasting_majority = Mean()
-        # Arrivals of lasting jobs, those that came together as one.
-        self.batches = 0.0
-        self.batch_at = 0.0
-
-    def begin(self, now: float) -> None:
-        """Count the time observed from now on, unless it counts already."""
-        if self.began is None:
-            self.began = self.faded = now
+        # Run times in seconds, by queue.
+        self.run_times: dict[str, RecentMean] = {}
+        # CPU of a majority of the tasks of a long-running job, in thousandths
+        # of a core.
+        self.majority_cpu = RecentMean()
+        # Arrivals of long-running jobs; those that arrive together count once.
+        self.arrived_batches = 0.0
+        self.last_batch_at = 0.0
+
+    def start_observing(self, now: float) -> None:
+        """Start to count the time observed, unless it has started already."""
+        if self.observed_since is None:
+            self.observed_since = self.decayed_at = now
 
     def add_job(self, job: messages.Job, now: float) -> None:
-        """Note that a job has arrived."""
-        self._fade(now)
+        """Record the arrival of a job."""
+        self._decay(now)
         for step in job.steps:
             if step.perpetual:
-                self._add_lasting(step, now)
-        steps = [step for step in job.steps if is_short(step)]
+                self._add_long_running(step, now)
+        steps = [step for step in job.steps if is_finite(step)]
         if not steps:
             return
         arrivals = self.arrivals.setdefault(job.priority, Arrivals())
         for step in steps:
-            arrivals.add(step, self._seconds(job.queue, step))
+            arrivals.add(step, self._expected_run_s(job.queue, step))
 
-    def _add_lasting(self, step: messages.Step, now: float) -> None:
-        self.lasting_majority.add(majority(step) * step.room.cpu)
-        if not self.batches or now - self.batch_at >= BATCH_S:
-            self.batches += 1.0
-            self.batch_at = now
+    def _add_long_running(self, step: messages.Step, now: float) -> None:
+        self.majority_cpu.add(majority(step) * step.room.cpu)
+        if (not self.arrived_batches
+                or now - self.last_batch_at >= BATCH_WINDOW_S):
+            self.arrived_batches += 1.0
+            self.last_batch_at = now
 
-    def add_run(self, queue: str, seconds: float) -> None:
-        """Note how long a short task of a queue ran until it was done."""
-        self.run_times.setdefault(queue, Mean()).add(seconds)
+    def add_run(self, queue: str, run_s: float) -> None:
+        """Record the run time in seconds of a finite task that succeeded."""
+        self.run_times.setdefault(queue, RecentMean()).add(run_s)
 
-    def _seconds(self, queue: str, step: messages.Step) -> float:
-        """Return the mean run time seen; estimates are up to 90% off."""
+    def _expected_run_s(self, queue: str, step: messages.Step) -> float:
+        """Return the recent mean run time; estimates are up to 90% off."""
         times = self.run_times.get(queue)
         if times is None:
             return step.estimate_ms / 1000.0
         return times.mean()
 
-    def _fade(self, now: float) -> None:
-        factor = 0.5 ** ((now - self.faded) / HALF_LIFE_S)
-        self.faded = now
-        self.batches *= factor
+    def _decay(self, now: float) -> None:
+        factor = 0.5 ** ((now - self.decayed_at) / HALF_LIFE_S)
+        self.decayed_at = now
+        self.arrived_batches *= factor
         for arrivals in self.arrivals.values():
-            arrivals.fade(factor)
+            arrivals.decay(factor)
 
-    def room(self, priority: int, capacity: float, now: float) -> float:
-        """Return processors to keep for work of a priority or a higher one.
+    def kept_cpu(self, priority: int, capacity_cpu: float,
+                 now: float) -> float:
+        """Return the CPU to keep for finite tasks of at least a priority.
 
         All in thousandths of a core.
         """
-        core_s = core2_s = 0.0
-        faded = 0.5 ** ((now - self.faded) / HALF_LIFE_S)
-        for level, arrivals in self.arrivals.items():
-            if level <= priority:
-                core_s += arrivals.core_s * faded
-                core2_s += arrivals.core2_s * faded
-        observed = self._observed_s(now)
-        learnt = (core_s / observed
-                  + DEVIATIONS * math.sqrt(core2_s / observed))
-        first = (FIRST_SHARE * capacity
-                 * 0.5 ** (self._age_s(now) / FIRST_HALF_LIFE_S))
-        return min(MOST_SHARE * capacity, max(first, learnt))
-
-    def most_room(self, capacity: float, now: float) -> float:
-        """Return the room kept for work of all priorities together."""
-        return self.room(max(self.arrivals, default=0), capacity, now)
-
-    def ahead(self, capacity: float, now: float) -> float:
-        """Return processors to keep for lasting jobs that are to come.
+        cpu_s = squared_cpu_s = 0.0
+        factor = 0.5 ** ((now - self.decayed_at) / HALF_LIFE_S)
+        for arrival_priority, arrivals in self.arrivals.items():
+            if arrival_priority <= priority:
+                cpu_s += arrivals.cpu_s * factor
+                squared_cpu_s += arrivals.squared_cpu_s * factor
+        observed_s = self._observed_s(now)
+        expected_cpu = (cpu_s / observed_s
+                        + HEADROOM_DEVIATIONS
+                        * math.sqrt(squared_cpu_s / observed_s))
+        initial_cpu = (INITIAL_SHARE * capacity_cpu
+                       * 0.5 ** (self._age_s(now) / INITIAL_HALF_LIFE_S))
+        return min(MAX_SHARE * capacity_cpu, max(initial_cpu, expected_cpu))
+
+    def total_kept_cpu(self, capacity_cpu: float, now: float) -> float:
+        """Return the CPU kept for finite tasks of all priorities together."""
+        return self.kept_cpu(max(self.arrivals, default=0), capacity_cpu, now)
+
+    def kept_for_new_jobs_cpu(self, capacity_cpu: float, now: float) -> float:
+        """Return the CPU to keep for long-running jobs expected to arrive.
 
         Enough for a majority of their tasks, in thousandths of a core.
         """
-        faded = 0.5 ** ((now - self.faded) / HALF_LIFE_S)
-        rate = self.batches * faded / self._observed_s(now)
-        return min(MOST_AHEAD * capacity,
-                   rate * AHEAD_S * self.lasting_majority.mean())
+        factor = 0.5 ** ((now - self.decayed_at) / HALF_LIFE_S)
+        rate = self.arrived_batches * factor / self._observed_s(now)
+        return min(MAX_NEW_JOBS_SHARE * capacity_cpu,
+                   rate * NEW_JOBS_LOOKAHEAD_S * self.majority_cpu.mean())
 
     def _age_s(self, now: float) -> float:
-        return now - self.began if self.began is not None else 0.0
+        return (now - self.observed_since
+                if self.observed_since is not None else 0.0)
 
     def _observed_s(self, now: float) -> float:
-        """Return the time that the sums stand for."""
-        whole = HALF_LIFE_S / math.log(2.0)
-        seen = whole * (1.0 - 0.5 ** (self._age_s(now) / HALF_LIFE_S))
-        return max(LEAST_OBSERVED_S, seen)
-
-    def width(self, priority: int) -> float:
-        """Return the width of a gap that short tasks can use."""
-        levels = [a for level, a in self.arrivals.items()
-                  if level <= priority]
-        core_s = sum(a.core_s for a in levels)
-        if not core_s:
-            return FIRST_WIDTH
-        return sum(a.width_core_s for a in levels) / core_s
+        """Return the time that the decayed sums stand for."""
+        full_window_s = HALF_LIFE_S / math.log(2.0)
+        decayed_window_s = full_window_s * (
+            1.0 - 0.5 ** (self._age_s(now) / HALF_LIFE_S))
+        return max(MIN_OBSERVED_S, decayed_window_s)
+
+    def mean_task_cpu(self, priority: int) -> float:
+        """Return the mean CPU of a finite task, in thousandths of a core."""
+        relevant = [a for arrival_priority, a in self.arrivals.items()
+                    if arrival_priority <= priority]
+        cpu_s = sum(a.cpu_s for a in relevant)
+        if not cpu_s:
+            return INITIAL_TASK_CPU
+        return sum(a.weighted_task_cpu_s for a in relevant) / cpu_s
--- a/sycamorefield/fleet/gangs.py
+++ b/sycamorefield/fleet/gangs.py
@@ -1,4 +1,4 @@
-"""Choose workers for the members of a gang, which start together."""
+"""Choose workers for gangs: groups of tasks that start together."""
 
 from sycamorefield.fleet import placing
 from sycamorefield.fleet import progress
@@ -8,23 +8,30 @@
 def choose(tasks: list[progress.TaskState], service: str,
            usable: list[workerstate.WorkerState]
            ) -> list[workerstate.WorkerState]:
-    """Return a worker for each member, in one rack if that is asked."""
+    """Return a worker for each task, or an empty list if some don't fit.
+
+    If the step asks for one rack, several racks are used only if no single
+    one fits all tasks.
+    """
     if not tasks[0].step.same_rack:
-        return _spread(tasks, service, usable)
+        return _assign(tasks, service, usable)
     racks: dict[str, list[workerstate.WorkerState]] = {}
     for worker in usable:
         racks.setdefault(worker.entry.rack(), []).append(worker)
-    for members in racks.values():
-        chosen = _spread(tasks, service, members)
+    for rack_workers in racks.values():
+        chosen = _assign(tasks, service, rack_workers)
         if chosen:
             return chosen
-    return _spread(tasks, service, usable)
+    return _assign(tasks, service, usable)
 
 
-def _spread(tasks: list[progress.TaskState], service: str,
+def _assign(tasks: list[progress.TaskState], service: str,
             workers: list[workerstate.WorkerState]
             ) -> list[workerstate.WorkerState]:
-    """Return one worker a member, or nothing if not all have room."""
+    """Return a worker for each task, or an empty list if some don't fit.
+
+    Workers with the most free CPU are used first.
+    """
     step = tasks[0].step
     reserved = step.reserved()
     chosen: list[workerstate.WorkerState] = []
@@ -32,11 +39,11 @@
         if not placing.allowed(worker, service, tasks[0]):
             continue
         free_capacity = worker.free_capacity()
-        there = 0
+        placed_here = 0
         while (len(chosen) < len(tasks) and free_capacity.holds(reserved)
                and not (step.max_per_worker
-                        and there >= step.max_per_worker)):
+                        and placed_here >= step.max_per_worker)):
             chosen.append(worker)
             free_capacity = free_capacity.minus(reserved)
-            there += 1
+            placed_here += 1
     return chosen if len(chosen) == len(tasks) else []
--- a/sycamorefield/fleet/headroom.py
+++ b/sycamorefield/fleet/headroom.py
@@ -1,4 +1,4 @@
-"""Keep room for short work when lasting tasks start."""
+"""Keep capacity for finite tasks when long-running tasks start."""
 
 import enum
 import math
@@ -8,119 +8,133 @@
 from sycamorefield.fleet import progress
 from sycamorefield.fleet import workerstate
 
-# While less of the processors than this is reserved, nothing is held back:
-# a lasting job that waits beside an empty fleet is lost to its users.
-FREE_USE = 0.6
-# What a lasting job wants beyond the majority of its tasks waits this long:
-# jobs that come together (their callers hand them in within some tenths of a
-# second) then all get a majority before any is complete.  Nothing waits while
-# less of the processors than the share below is reserved.
-SETTLE_S = 1.0
-SETTLE_USE = 0.3
-
-
-class Part(enum.Enum):
-    """Say how much a lasting task has to leave to others."""
-
-    # It ran already and its users notice that it is gone, or all members of
-    # its gang are needed at once: nothing.
-    ANY_ROOM = enum.auto()
-    # Without most of its tasks a job serves its users too badly to count:
-    # room for short work only.
-    MAJORITY = enum.auto()
-    # Room for short work, and for a majority of each lasting job to come.
-    REST = enum.auto()
-
-
-def placed(tasks: list[progress.TaskState]) -> int:
-    """Return how many tasks of a lasting step run or ran."""
+# No headroom is required while a smaller share of the CPU than this is
+# reserved: users of a long-running job would be without service although the
+# fleet is nearly empty.
+MIN_UTILISATION = 0.6
+# Tasks of a long-running job beyond the majority wait this long.  Jobs that
+# arrive together (callers submit them within some tenths of a second) then all
+# get a majority of their tasks before any of them gets the remaining ones.
+# There is no delay while a smaller share of the CPU than this is reserved.
+REMAINING_TASKS_DELAY_S = 1.0
+REMAINING_TASKS_DELAY_MIN_UTILISATION = 0.3
+
+
+class RequiredHeadroom(enum.Enum):
+    """The capacity that a long-running task must leave to others."""
+
+    # Nothing: it has run before, so its users notice that it is down, or all
+    # members of its gang must start at once.
+    NONE = enum.auto()
+    # Capacity for finite tasks only: without a majority of its tasks a job
+    # serves its users too badly to count.
+    FINITE_TASKS = enum.auto()
+    # Capacity for finite tasks and for a majority of the tasks of each
+    # long-running job that is expected to arrive.
+    ALL = enum.auto()
+
+
+def placed_count(tasks: list[progress.TaskState]) -> int:
+    """Return how many tasks of a long-running step run or have run."""
     return sum(1 for task in tasks
                if task.has_run or task.phase != progress.IDLE)
 
 
-def part(task: progress.TaskState, already_placed: int,
-         spread: bool = True) -> Part:
-    """Return what a task has to leave, beside those of its step placed.
+def required_headroom(task: progress.TaskState, placed_before: int,
+                      spread: bool = True) -> RequiredHeadroom:
+    """Return what a task must leave if so many of its step are placed.
 
-    Without spreading, all tasks of a job leave as much as its last one.
+    Without spreading, every task of a job must leave as much as its last one.
     """
     step = task.step
     if not step.perpetual or step.gang or task.has_run:
-        return Part.ANY_ROOM
+        return RequiredHeadroom.NONE
     if not spread:
-        return Part.REST
-    return (Part.MAJORITY if already_placed < demand_mod.majority(step)
-            else Part.REST)
+        return RequiredHeadroom.ALL
+    return (RequiredHeadroom.FINITE_TASKS
+            if placed_before < demand_mod.majority(step)
+            else RequiredHeadroom.ALL)
 
 
 class Headroom:
-    """Hold, within a round, which workers lasting tasks may take.
-
-    What goes wrong without: lasting tasks reserve nearly all processors and
-    stay for minutes, what is left are gaps narrower than any urgent task,
-    and urgent callers wait for seconds on a calm day, however high they
-    rank.  One sees nearly all processors reserved, a widest gap smaller than
-    an urgent task, and urgent tasks waiting all the time.
-    Room counts in gaps as wide as a short task: the rest of a worker is of
-    no use to them, and lasting tasks may have it.
+    """Limit, within a round, the workers that long-running tasks may use.
+
+    Without headroom, long-running tasks reserve nearly all CPU for minutes.
+    The free CPU left on each worker is less than any urgent task requests,
+    and urgent callers wait for seconds even without any fault, whatever their
+    priority.  Symptoms are nearly all CPU reserved, no worker with enough free
+    CPU for an urgent task, and urgent tasks waiting all the time.
+
+    Headroom is counted in slots, each as wide as an average finite task.  CPU
+    of a worker that does not add up to a slot is of no use to finite tasks, so
+    long-running tasks may take it.
     """
 
     def __init__(self, workers: list[workerstate.WorkerState],
-                 learnt: demand_mod.Demand, priority: int,
+                 estimator: demand_mod.DemandEstimator, priority: int,
                  now: float) -> None:
         self.workers = workers
-        self.capacity = sum(w.entry.capacity.cpu for w in workers)
-        self.width = max(1.0, learnt.width(priority))
-        kept = learnt.room(priority, self.capacity, now)
-        # What is less than one gap is room for nobody.
-        self.kept = kept if kept >= self.width else 0.0
-        ahead = learnt.ahead(self.capacity, now)
-        self.ahead = ahead if ahead >= self.width else 0.0
-        self.used = sum(w.used.cpu for w in workers)
-        self.gaps = {w.entry.worker_id: self._usable(w, 0) for w in workers}
-        self.usable = sum(self.gaps.values())
+        self.capacity_cpu = sum(w.entry.capacity.cpu for w in workers)
+        self.slot_cpu = max(1.0, estimator.mean_task_cpu(priority))
+        kept_cpu = estimator.kept_cpu(priority, self.capacity_cpu, now)
+        # Less than one slot would be of no use to any task.
+        self.kept_cpu = kept_cpu if kept_cpu >= self.slot_cpu else 0.0
+        for_new_jobs_cpu = estimator.kept_for_new_jobs_cpu(
+            self.capacity_cpu, now)
+        self.kept_for_new_jobs_cpu = (
+            for_new_jobs_cpu if for_new_jobs_cpu >= self.slot_cpu else 0.0)
+        self.reserved_cpu = sum(w.used.cpu for w in workers)
+        self.slots_cpu_by_worker = {
+            w.entry.worker_id: self._slots_cpu(w, 0) for w in workers}
+        self.total_slots_cpu = sum(self.slots_cpu_by_worker.values())
 
     @property
-    def use(self) -> float:
-        """Return the share of the processors that is reserved."""
-        return self.used / max(1, self.capacity)
+    def utilisation(self) -> float:
+        """Return the share of the CPU that is reserved, 0 to 1."""
+        return self.reserved_cpu / max(1, self.capacity_cpu)
 
-    def started(self, worker: workerstate.WorkerState, cpu: int) -> None:
-        """Count a start; only what its worker leaves has changed."""
+    def record_start(self, worker: workerstate.WorkerState, cpu: int) -> None:
+        """Update the slots of the worker on which a task has started."""
         worker_id = worker.entry.worker_id
-        if worker_id not in self.gaps:
+        if worker_id not in self.slots_cpu_by_worker:
             return
-        self.used += cpu
-        self.usable -= self.gaps[worker_id]
-        self.gaps[worker_id] = self._usable(worker, 0)
-        self.usable += self.gaps[worker_id]
-
-    def _usable(self, worker: workerstate.WorkerState, taken: int) -> float:
-        """Return the gaps of a worker that short tasks could use."""
-        room = worker.entry.capacity.cpu - worker.long_running_cpu - taken
-        return self.width * max(0, math.floor(room / self.width))
-
-    def _loss(self, worker: workerstate.WorkerState, cpu: int) -> float:
-        before = self.gaps.get(worker.entry.worker_id)
-        if before is None:
-            before = self._usable(worker, 0)
-        return before - self._usable(worker, cpu)
-
-    def settling(self, age_s: float) -> bool:
-        """Tell whether the rest of a job of an age in seconds still waits."""
-        return age_s < SETTLE_S and self.use >= SETTLE_USE
-
-    def allowed(self, part_: Part, step: messages.Step,
-                workers: list[workerstate.WorkerState]
-                ) -> list[workerstate.WorkerState]:
-        """Return the workers that a task of a lasting job may take.
-
-        Within a round they only become fewer.
+        self.reserved_cpu += cpu
+        self.total_slots_cpu -= self.slots_cpu_by_worker[worker_id]
+        self.slots_cpu_by_worker[worker_id] = self._slots_cpu(worker, 0)
+        self.total_slots_cpu += self.slots_cpu_by_worker[worker_id]
+
+    def _slots_cpu(self, worker: workerstate.WorkerState,
+                   added_cpu: int) -> float:
+        """Return the CPU of the slots that long-running tasks leave free."""
+        available_cpu = (worker.entry.capacity.cpu - worker.long_running_cpu
+                         - added_cpu)
+        return self.slot_cpu * max(
+            0, math.floor(available_cpu / self.slot_cpu))
+
+    def _lost_slots_cpu(self, worker: workerstate.WorkerState,
+                        cpu: int) -> float:
+        cpu_before = self.slots_cpu_by_worker.get(worker.entry.worker_id)
+        if cpu_before is None:
+            cpu_before = self._slots_cpu(worker, 0)
+        return cpu_before - self._slots_cpu(worker, cpu)
+
+    def delays_remaining_tasks(self, age_s: float) -> bool:
+        """Return whether the remaining tasks of a job must still wait."""
+        return (age_s < REMAINING_TASKS_DELAY_S
+                and self.utilisation >= REMAINING_TASKS_DELAY_MIN_UTILISATION)
+
+    def allowed_workers(self, required: RequiredHeadroom, step: messages.Step,
+                        workers: list[workerstate.WorkerState]
+                        ) -> list[workerstate.WorkerState]:
+        """Return the workers that a task of a long-running job may use.
+
+        Within a round, workers are only ever removed from the result.
         """
-        if self.use < FREE_USE:
+        if self.utilisation < MIN_UTILISATION:
             return workers
-        kept = self.kept
-        if part_ is Part.REST:
-            kept += self.ahead
-        most = max(0.0, self.usable - kept)
-        return [w for w in workers if self._loss(w, step.room.cpu) <= most]
+        kept_cpu = self.kept_cpu
+        if required is RequiredHeadroom.ALL:
+            kept_cpu += self.kept_for_new_jobs_cpu
+        max_loss_cpu = max(0.0, self.total_slots_cpu - kept_cpu)
+        return [w for w in workers
+                if self._lost_slots_cpu(w, step.room.cpu) <= max_loss_cpu]
--- a/sycamorefield/fleet/placing.py
+++ b/sycamorefield/fleet/placing.py
@@ -1,4 +1,4 @@
-"""Choose workers for tasks, and what gives way to an urgent one."""
+"""Choose workers for tasks, and runs to preempt for urgent tasks."""
 
 import heapq
 import typing
@@ -8,79 +8,82 @@
 from sycamorefield.fleet import progress
 from sycamorefield.fleet import workerstate
 
-# A filling task is placed where this many times what it wants is expected to
-# be left over: processors that are all in use disturb every serving task, and
-# the load of those is known to a few percent only.
-FILL_SHARE = 1.05
-# A filling task goes where no tail that it harms is expected above this share
-# of its target: loads swing within a run, and what is placed close to the
-# share at which runs are slowed soon is.
-TAIL_LIMIT = 0.55
+# A best-effort task needs this many times its CPU to be expected unused: a
+# worker whose CPU is fully used slows down every task with a latency target,
+# and the load of those tasks is known only to within a few percent.
+BEST_EFFORT_CPU_FACTOR = 1.05
+# A best-effort task is placed only where no tail latency that it affects is
+# expected above this share of its target.  Load varies during a run: one
+# placed close to the share at which runs are throttled is soon throttled.
+MAX_TAIL_LATENCY_RATIO = 0.55
 
 
-def leftover_cpu(worker: workerstate.WorkerState) -> float:
-    """Return processors that filling tasks may expect, in thousandths.
+def available_best_effort_cpu(worker: workerstate.WorkerState) -> float:
+    """Return the CPU that further best-effort tasks may expect to use.
 
-    Serving tasks use what their load tells; a fixed share of what they
-    reserve leaves processors unused at low load, and has all of them in use,
-    which disturbs every serving task, at high load.
+    In thousandths of a core.  The CPU used by tasks with a latency target is
+    derived from their load.  A fixed share of what they reserve would leave
+    CPU unused at low load; at high load all CPU would be in use, which slows
+    down every such task.
     """
     return (worker.entry.capacity.cpu - worker.used.cpu + worker.unused_cpu
             - worker.best_effort_cpu)
 
 
-def saturated(worker: workerstate.WorkerState) -> bool:
-    """Tell whether filling tasks want more processors than are left over."""
-    return leftover_cpu(worker) < 0
+def is_saturated(worker: workerstate.WorkerState) -> bool:
+    """Return whether best-effort tasks request more CPU than is unused."""
+    return available_best_effort_cpu(worker) < 0
 
 
 def allowed(worker: workerstate.WorkerState, service: str,
             task: progress.TaskState) -> bool:
-    """Tell whether rules let a task run on a worker, room aside."""
+    """Return whether a task may run on a worker, capacity aside."""
     step = task.step
     if worker.entry.service != service:
         return False
     if step.requires and step.requires not in worker.entry.labels:
         return False
     if step.max_per_worker:
-        name = task.task
-        there = worker.count_runs(name.job_id, name.occurrence, name.step)
-        if there >= step.max_per_worker:
+        task_id = task.task
+        running_here = worker.count_runs(
+            task_id.job_id, task_id.occurrence, task_id.step)
+        if running_here >= step.max_per_worker:
             return False
     return True
 
 
 def fits(worker: workerstate.WorkerState, step: messages.Step,
-         learnt: interference.Interference) -> bool:
-    """Tell whether a worker has the room, and gets its starts, now."""
+         model: interference.Interference) -> bool:
+    """Return whether a worker has the capacity and accepts starts now."""
     if not worker.accepts_starts():
         return False
-    if step.fills and leftover_cpu(worker) < FILL_SHARE * step.room.cpu:
+    if (step.fills and available_best_effort_cpu(worker)
+            < BEST_EFFORT_CPU_FACTOR * step.room.cpu):
         return False
     if not worker.free_capacity().holds(step.reserved()):
         return False
-    if not step.fills or not learnt.limits:
+    if not step.fills or not model.limits:
         return True
     cores = step.room.cpu / 1000.0
-    return learnt.stays_below(worker.tail_latencies, step.image, cores,
-                              TAIL_LIMIT)
+    return model.stays_below(worker.tail_latencies, step.image, cores,
+                             MAX_TAIL_LATENCY_RATIO)
 
 
 def choose(task: progress.TaskState, service: str,
            workers: typing.Iterable[workerstate.WorkerState],
-           learnt: interference.Interference
+           model: interference.Interference
            ) -> workerstate.WorkerState | None:
-    """Return the best worker for a task, or None if none has room.
+    """Return the best worker for a task, or None if it fits on none.
 
-    Data nearby counts most, then workers on which the task has not failed,
-    then the most room left, so that neither racks nor workers fill unevenly.
+    Workers on which the task has not failed come first, then those near its
+    data; _packing_rank() decides between equal ones.
     """
     best = None
-    best_rank: Rank = ()
+    highest_rank: Rank = ()
     for worker in workers:
-        rank = _rank(worker, task, service, learnt)
-        if rank is not None and (best is None or rank > best_rank):
-            best, best_rank = worker, rank
+        rank = _rank(worker, task, service, model)
+        if rank is not None and (best is None or rank > highest_rank):
+            best, highest_rank = worker, rank
     return best
 
 
@@ -88,121 +91,127 @@
 
 
 def _rank(worker: workerstate.WorkerState, task: progress.TaskState,
-          service: str, learnt: interference.Interference) -> Rank | None:
-    """Return how well a task goes on a worker, or None if it can't."""
+          service: str, model: interference.Interference) -> Rank | None:
+    """Rank a worker for a task (higher is better); None if it can't run."""
     step = task.step
-    if not allowed(worker, service, task) or not fits(worker, step, learnt):
+    if not allowed(worker, service, task) or not fits(worker, step, model):
         return None
-    near = not step.affinity or step.affinity in worker.entry.labels
-    fresh = worker.entry.worker_id not in task.avoided_workers
-    return (fresh, near, *_room_rank(worker, step, learnt))
+    has_data_nearby = not step.affinity or step.affinity in worker.entry.labels
+    not_failed_here = worker.entry.worker_id not in task.avoided_workers
+    return (not_failed_here, has_data_nearby,
+            *_packing_rank(worker, step, model))
 
 
 class Ranking:
     """Choose workers for the tasks of a step, one after the other.
 
-    Chooses what choose() does for each, but ranks all workers only once:
-    searching them anew for each of dozens of tasks takes most of a round that
-    starts them.  It holds as long as only the workers that it chose change,
-    and for tasks that avoid no worker.
+    The result is the same as that of choose() for each task, but all workers
+    are ranked only once: searching them for each of dozens of tasks takes most
+    of the time of a round that starts these tasks.  Valid only while no
+    workers change but those it chose, and for tasks that avoid no worker.
     """
 
     def __init__(self, task: progress.TaskState, service: str,
                  workers: typing.Iterable[workerstate.WorkerState],
-                 learnt: interference.Interference) -> None:
+                 model: interference.Interference) -> None:
         self.task = task
         self.service = service
-        self.learnt = learnt
-        # The best first; of equal ones the first in the order of workers.
-        self.ranked: list[tuple[Rank, int, int,
-                                workerstate.WorkerState]] = []
-        for place, worker in enumerate(workers):
-            rank = _rank(worker, task, service, learnt)
+        self.model = model
+        # Best first; ties are broken by the order of the workers.
+        self.heap: list[tuple[Rank, int, int,
+                              workerstate.WorkerState]] = []
+        for position, worker in enumerate(workers):
+            rank = _rank(worker, task, service, model)
             if rank is not None:
-                self.ranked.append(_entry(rank, place, worker))
-        heapq.heapify(self.ranked)
+                self.heap.append(_heap_entry(rank, position, worker))
+        heapq.heapify(self.heap)
 
     def best(self) -> workerstate.WorkerState | None:
-        """Return the best worker as of now, or None if none has room."""
-        while self.ranked:
-            _, place, change_number, worker = self.ranked[0]
+        """Return the best worker at present, or None if there is none."""
+        while self.heap:
+            _, position, change_number, worker = self.heap[0]
             if worker.change_number == change_number:
                 return worker
-            rank = _rank(worker, self.task, self.service, self.learnt)
+            rank = _rank(worker, self.task, self.service, self.model)
             if rank is None:
-                heapq.heappop(self.ranked)
+                heapq.heappop(self.heap)
             else:
-                heapq.heapreplace(self.ranked, _entry(rank, place, worker))
+                heapq.heapreplace(self.heap,
+                                  _heap_entry(rank, position, worker))
         return None
 
 
-def _entry(rank: Rank, place: int, worker: workerstate.WorkerState
-           ) -> tuple[Rank, int, int, workerstate.WorkerState]:
-    return tuple(-part for part in rank), place, worker.change_number, worker
+def _heap_entry(rank: Rank, position: int, worker: workerstate.WorkerState
+                ) -> tuple[Rank, int, int, workerstate.WorkerState]:
+    return (tuple(-part for part in rank), position, worker.change_number,
+            worker)
 
 
-# Added harm below this (a tail 2% higher a core) counts as none.
-HARMLESS = 0.02
+# Differences in harm below this (2% more tail latency per core) are ignored.
+NEGLIGIBLE_HARM = 0.02
 
 
-def _room_rank(worker: workerstate.WorkerState, step: messages.Step,
-               learnt: interference.Interference) -> tuple[float, ...]:
+def _packing_rank(worker: workerstate.WorkerState, step: messages.Step,
+                  model: interference.Interference) -> tuple[float, ...]:
     if step.fills:
-        harm = learnt.harm(worker.tail_latencies, step.image)
-        return (-round(harm / HARMLESS), leftover_cpu(worker))
+        harm = model.harm(worker.tail_latencies, step.image)
+        return (-round(harm / NEGLIGIBLE_HARM),
+                available_best_effort_cpu(worker))
     if step.target_ms:
-        # Serving tasks of one image together: a filling image that harms
-        # them then finds other workers where it harms nobody.
-        images = [task.step.image for task in worker.tasks.values()
-                  if task.step.target_ms]
-        same = images.count(step.image)
-        others = len(images) - same
-        return (-float(others), float(same > 0),
+        # Place tasks of one image together: a best-effort image that disturbs
+        # them can then use other workers, where it disturbs no task.
+        target_images = [task.step.image for task in worker.tasks.values()
+                         if task.step.target_ms]
+        same_image = target_images.count(step.image)
+        other_images = len(target_images) - same_image
+        return (-float(other_images), float(same_image > 0),
                 -float(worker.free_capacity().cpu))
-    # The smallest gap that fits: wide gaps stay for wide tasks.
+    # Best fit: workers with much free capacity stay free for wide tasks.
     return (-float(worker.free_capacity().cpu),
             -float(worker.free_capacity().mem_mb))
 
 
-def victims(task: progress.TaskState, service: str, priority: int,
-            workers: typing.Iterable[workerstate.WorkerState],
-            priority_of: typing.Callable[[progress.TaskState], int]
-            ) -> list[progress.TaskState]:
-    """Return the fewest less urgent runs that make room for a task.
+def choose_victims(task: progress.TaskState, service: str, priority: int,
+                   workers: typing.Iterable[workerstate.WorkerState],
+                   priority_of: typing.Callable[[progress.TaskState], int]
+                   ) -> list[progress.TaskState]:
+    """Return the fewest lower-priority runs to preempt for a task.
 
-    Runs that save their progress go first, then those that began last:
-    both lose least work.
+    Runs that save checkpoints are preempted first, then those started last:
+    both lose the least work.
     """
     best: list[progress.TaskState] = []
     for worker in workers:
         if not allowed(worker, service, task):
             continue
-        chosen = _victims_on(worker, task.step, priority, priority_of)
+        chosen = _choose_victims_on(worker, task.step, priority, priority_of)
         if chosen and (not best or len(chosen) < len(best)):
             best = chosen
     return best
 
 
-def _victims_on(worker: workerstate.WorkerState, step: messages.Step,
-                priority: int,
-                priority_of: typing.Callable[[progress.TaskState], int]
-                ) -> list[progress.TaskState]:
-    need = step.reserved()
+def _choose_victims_on(worker: workerstate.WorkerState, step: messages.Step,
+                       priority: int,
+                       priority_of: typing.Callable[[progress.TaskState], int]
+                       ) -> list[progress.TaskState]:
+    request = step.reserved()
     free_capacity = worker.free_capacity()
-    if need.cpu > free_capacity.cpu and not worker.preemptible_runs:
-        # Filling runs hold no processors; on a full fleet most runs fill.
+    if request.cpu > free_capacity.cpu and not worker.preemptible_runs:
+        # Preempting best-effort runs frees no reserved CPU, and on a full
+        # fleet most runs are best-effort.
         return []
     candidates = [t for t in worker.tasks.values()
                   if t.phase == progress.RUNNING and not t.step.perpetual
                   and priority_of(t) > priority]
-    if need.cpu > free_capacity.cpu and all(t.step.fills for t in candidates):
+    if request.cpu > free_capacity.cpu and all(t.step.fills
+                                               for t in candidates):
         return []
     candidates.sort(key=lambda t: (t.step.checkpoint, t.started_at),
                     reverse=True)
     chosen: list[progress.TaskState] = []
     for task in candidates:
-        if free_capacity.holds(need):
+        if free_capacity.holds(request):
             break
         chosen.append(task)
         free_capacity = free_capacity.plus(task.step.reserved())
-    return chosen if free_capacity.holds(need) else []
+    return chosen if free_capacity.holds(request) else []
--- a/sycamorefield/fleet/reports.py
+++ b/sycamorefield/fleet/reports.py
@@ -105,7 +105,7 @@
         return
     if started_at:
         task.previous_run_s = now - started_at
-    if demand.is_short(task.step) and started_at:
+    if demand.is_finite(task.step) and started_at:
         fleet.demand.add_run(job.job.queue, now - started_at)
     step_index = (task.task.occurrence, task.task.step)
     members = job.tasks[step_index] if task.step.gang else [task]
--- a/sycamorefield/fleet/rounds.py
+++ b/sycamorefield/fleet/rounds.py
@@ -1,33 +1,34 @@
-"""Place waiting tasks in one round over the fleet."""
+"""Run scheduling rounds: match waiting tasks to workers."""
 
 import dataclasses
 
 from sycamorefield import events
-from sycamorefield.fleet import coming
+from sycamorefield.fleet import freeing
 from sycamorefield.fleet import gangs
-from sycamorefield.fleet import gaps
 from sycamorefield.fleet import headroom
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import ordering
 from sycamorefield.fleet import pacer
+from sycamorefield.fleet import placement_cache
 from sycamorefield.fleet import placing
 from sycamorefield.fleet import progress
-from sycamorefield.fleet import shortage
+from sycamorefield.fleet import reservations
 from sycamorefield.fleet import state as state_mod
 from sycamorefield.fleet import trials
 from sycamorefield.fleet import workerstate
 
-# A filling run slowed to pacer.STALLED_PACE for this long moves to a worker
-# where it is expected to harm nobody, if there is one.  Moving sooner throws
-# more work away than it saves.
-STALLED_S = 1.0
+# A best-effort run throttled to pacer.STALLED_PACE for this long is moved to a
+# worker where it is expected to disturb no other task, if there is one.  A
+# move loses the progress made so far: moving sooner loses more work than it
+# saves.
+MOVE_STALLED_AFTER_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Site:
-    """Say where a step may run: its service, workers and their tickets.
+class EligibleWorkers:
+    """The workers on which a step may run, with their tickets.
 
-    Without a queue's advice policy there are no tickets at all.
+    There are no tickets (None) if the queue has no advice policy.
     """
 
     service: str
@@ -35,340 +36,381 @@
     tickets: dict[str, str] | None = None
 
     def ticket(self, worker: workerstate.WorkerState) -> str:
-        """Return the ticket that a start on a worker carries, or nothing."""
+        """Return the ticket to start a run on a worker, or an empty string."""
         return (self.tickets or {}).get(worker.entry.worker_id, "")
 
-    def scope(self, task: progress.TaskState) -> shortage.Scope:
-        """Name the workers among which a task of the step looks for room."""
+    def scope(self, task: progress.TaskState) -> placement_cache.SearchScope:
+        """Return the scope of a search for a worker for a task of the step."""
         step = task.step
         own = step.max_per_worker or self.tickets is not None
-        return shortage.Scope(
+        return placement_cache.SearchScope(
             self.service, step.fills, step.requires,
             step.image if step.fills else "",
             task.task.step_id() if own else None)
 
 
 class Round:
-    """Place tasks in one round, remembering what found no room."""
+    """A scheduling round; caches which requests could not be placed."""
 
     def __init__(self, fleet: state_mod.FleetState,
                  queues: dict[str, messages.Queue],
-                 usable: list[workerstate.WorkerState],
+                 usable_workers: list[workerstate.WorkerState],
                  now: float) -> None:
         self.fleet = fleet
         self.queues = queues
-        self.usable = usable
-        # How many workers there are for all, those set aside among them.
-        self.workers_in_all = len(usable) + len(fleet.trials.by_worker)
+        self.usable_workers = usable_workers
+        # Usable workers, including those quarantined for suspected tasks.
+        self.worker_count = len(usable_workers) + len(fleet.trials.by_worker)
         self.now = now
         self.policy = fleet.policy
-        # What finds no room now, and what can't expect any soon either.
-        remembers = self.policy.remember_shortage
-        self.shortage = shortage.Shortage(remembers)
-        self.hopeless = shortage.Shortage(remembers)
-        self.gaps = gaps.Gaps(usable)
-        # Lasting tasks that found none beside the room to leave, and that
-        # room, by service and by the priority of the lasting job.
-        self.held = {part: shortage.Shortage() for part in headroom.Part}
+        # Requests that fit on no worker now, and those of them for which no
+        # capacity is being freed or can be freed by preemption.
+        remember_searches = self.policy.remember_shortage
+        self.unplaceable = placement_cache.UnplaceableRequests(
+            remember_searches)
+        self.no_capacity_expected = placement_cache.UnplaceableRequests(
+            remember_searches)
+        self.reservations = reservations.Reservations(usable_workers)
+        # Long-running tasks that could not be placed without using capacity
+        # kept for others, by how much they must leave.
+        self.held_back = {
+            required: placement_cache.UnplaceableRequests()
+            for required in headroom.RequiredHeadroom}
+        # By service and by the priority of the long-running job.
         self.headrooms: dict[tuple[str, int], headroom.Headroom] = {}
-        self.coming = coming.ComingRoom(usable)
-        # Workers on which something else was not to start in this round.
+        self.freeing = freeing.FreeingCapacity(usable_workers)
+        # Workers on which this round must not start any other task.
         self.excluded: list[workerstate.WorkerState] = []
-        # Workers for the tasks of the step being placed.
+        # Ranked workers for the tasks of the step being placed.
         self.ranking: placing.Ranking | None = None
 
     def place_step(self, state: progress.JobState, occurrence: int,
                    number: int) -> bool:
-        """Start the idle tasks of a step; tell if any waited."""
+        """Start the idle tasks of a step; return whether any was waiting."""
         if (state.step_done(occurrence, number)
                 or not state.step_ready(occurrence, number)):
             return False
         tasks = state.tasks[occurrence, number]
         waiting = [t for t in tasks if t.phase == progress.IDLE
                    and not t.done]
-        idle = [t for t in waiting if t.not_before <= self.now]
-        if not idle:
+        startable = [t for t in waiting if t.not_before <= self.now]
+        if not startable:
             return bool(waiting)
         step = state.job.steps[number]
-        site = self._site(state, idle[0])
-        suspected = [t for t in idle if t.suspicion and t.needs_trial()]
+        eligible = self._eligible_workers(state, startable[0])
+        suspected = [t for t in startable if t.suspicion and t.needs_trial()]
         if suspected:
-            self._place_suspected(state, tasks, idle, suspected, site)
+            self._place_suspected(state, tasks, startable, suspected, eligible)
         elif step.gang:
-            self._place_gang(state, tasks, idle, site)
+            self._place_gang(state, tasks, startable, eligible)
         else:
-            self._place_tasks(state, tasks, idle, site)
-        if site.tickets is not None:
-            self._ask_advice(state, idle, site)
+            self._place_tasks(state, tasks, startable, eligible)
+        if eligible.tickets is not None:
+            self._request_advice(state, startable, eligible)
         return True
 
-    def _ask_advice(self, state: progress.JobState,
-                    tasks: list[progress.TaskState], site: Site) -> None:
-        """Ask about further workers while tasks of a step find no room."""
+    def _request_advice(self, state: progress.JobState,
+                        tasks: list[progress.TaskState],
+                        eligible: EligibleWorkers) -> None:
+        """Request advice on more workers if tasks of a step are unplaced."""
         queue = self.queues[state.job.queue]
-        left = [t for t in tasks if t.phase == progress.IDLE]
-        if not left or queue.advice is None:
+        unplaced = [t for t in tasks if t.phase == progress.IDLE]
+        if not unplaced or queue.advice is None:
             return
-        roomiest = sorted((w for w in self.usable
-                           if w.entry.service == site.service),
-                          key=lambda w: -w.free_capacity().cpu)
+        by_free_cpu = sorted((w for w in self.usable_workers
+                              if w.entry.service == eligible.service),
+                             key=lambda w: -w.free_capacity().cpu)
         self.fleet.advice.want(
-            left[0].task.step_id(),
-            (w.entry.worker_id for w in roomiest), queue.advice, self.now)
+            unplaced[0].task.step_id(),
+            (w.entry.worker_id for w in by_free_cpu), queue.advice, self.now)
 
-    def _site(self, state: progress.JobState,
-              task: progress.TaskState) -> Site:
-        """Return where a task's step may run, by configuration and advice."""
+    def _eligible_workers(self, state: progress.JobState,
+                          task: progress.TaskState) -> EligibleWorkers:
+        """Return the workers that configuration and advice allow a step."""
         queue = self.queues.get(state.job.queue)
         service = queue.service if queue else state.job.service
         if queue is None or queue.advice is None:
-            return Site(service, self.usable)
+            return EligibleWorkers(service, self.usable_workers)
         tickets = self.fleet.advice.valid(task.task.step_id(), self.now)
-        return Site(service, [w for w in self.usable
-                              if w.entry.worker_id in tickets], tickets)
+        return EligibleWorkers(
+            service, [w for w in self.usable_workers
+                      if w.entry.worker_id in tickets], tickets)
 
     def _place_tasks(self, state: progress.JobState,
                      tasks: list[progress.TaskState],
-                     idle: list[progress.TaskState], site: Site) -> None:
-        """Start the idle ones of the tasks of a step as far as room goes."""
-        holds_back = (self.policy.keep_room_for_short_work
-                      and state.job.steps[idle[0].task.step].perpetual)
-        placed = headroom.placed(tasks) if holds_back else 0
-        given_up: set[headroom.Part] = set()
+                     startable: list[progress.TaskState],
+                     eligible: EligibleWorkers) -> None:
+        """Start as many of the startable tasks of a step as possible."""
+        keeps_headroom = (
+            self.policy.keep_room_for_short_work
+            and state.job.steps[startable[0].task.step].perpetual)
+        placed_count = headroom.placed_count(tasks) if keeps_headroom else 0
+        exhausted: set[headroom.RequiredHeadroom] = set()
         self.ranking = None
-        for task in idle:
-            part = headroom.part(task, placed,
-                                 self.policy.spread_lasting_jobs)
-            if holds_back and part is not headroom.Part.ANY_ROOM:
-                # Others of the step may have run, and need not leave room.
-                if part in given_up:
+        for task in startable:
+            required = headroom.required_headroom(
+                task, placed_count, self.policy.spread_lasting_jobs)
+            if (keeps_headroom
+                    and required is not headroom.RequiredHeadroom.NONE):
+                # Go on after a failure: tasks that have run before may use
+                # capacity that this one must leave.
+                if required in exhausted:
                     continue
-                if self._place_lasting(state, task, site, part):
-                    placed += 1
-                elif self._waits(state, task, site, part):
-                    given_up.add(part)
-            elif not self._place_task(state, task, site):
-                # Its other tasks are as large and look as far.
+                if self._place_long_running(state, task, eligible, required):
+                    placed_count += 1
+                elif self._is_held_back(state, task, eligible, required):
+                    exhausted.add(required)
+            elif not self._place_task(state, task, eligible):
+                # The other tasks request as much in the same scope.
                 break
 
     def _place_task(self, state: progress.JobState,
-                    task: progress.TaskState, site: Site) -> bool:
-        """Start a task where there is room; tell if others may be tried."""
-        scope = site.scope(task)
-        need = task.step.room
-        if not self.shortage.covers(scope, need):
-            worker = self._choose(task, site)
+                    task: progress.TaskState,
+                    eligible: EligibleWorkers) -> bool:
+        """Start a task if it fits on a worker.
+
+        Return whether the other tasks of its step should be tried.
+        """
+        scope = eligible.scope(task)
+        request = task.step.room
+        if not self.unplaceable.covers(scope, request):
+            worker = self._choose_worker(task, eligible)
             if worker is not None:
-                self._start(state, task, worker, site)
+                self._start(state, task, worker, eligible)
                 return True
-            self.shortage.add(scope, need)
-            self.fleet.placement_misses.add(scope, need)
-        return self._wait_for_room(state, task, site, scope)
-
-    def _wait_for_room(self, state: progress.JobState,
-                       task: progress.TaskState, site: Site,
-                       scope: shortage.Scope) -> bool:
-        """Let a task without room wait; tell if others may be tried."""
-        expected = self._expects_room(state, task, site, scope)
-        if (self.policy.keep_gaps and task.has_run
-                and ordering.interrupted(state, self.now)):
-            return self._keep_gap(task, site, scope) or expected
-        # Of one step some lasting tasks may have run and others not.
-        return expected or task.step.perpetual
+            self.unplaceable.add(scope, request)
+            self.fleet.placement_misses.add(scope, request)
+        return self._wait_for_capacity(state, task, eligible, scope)
 
-    def _choose(self, task: progress.TaskState, site: Site
-                ) -> workerstate.WorkerState | None:
+    def _wait_for_capacity(self, state: progress.JobState,
+                           task: progress.TaskState, eligible: EligibleWorkers,
+                           scope: placement_cache.SearchScope) -> bool:
+        """Free or reserve capacity for a task that fits on no worker.
+
+        Return whether the other tasks of its step should be tried.
+        """
+        expects_capacity = self._expects_capacity(state, task, eligible, scope)
+        if (self.policy.keep_gaps and task.has_run
+                and ordering.is_interrupted(state, self.now)):
+            return (self._reserve_worker(task, eligible, scope)
+                    or expects_capacity)
+        # Of a long-running step, other tasks may still be placed: those that
+        # have run before differ from those that have not.
+        return expects_capacity or task.step.perpetual
+
+    def _choose_worker(self, task: progress.TaskState,
+                       eligible: EligibleWorkers
+                       ) -> workerstate.WorkerState | None:
         """Return the best worker for a task of the step being placed."""
         if task.avoided_workers or not self.policy.remember_shortage:
             self.ranking = None
             return placing.choose(
-                task, site.service,
-                self._untried(task, site, site.scope(task)),
+                task, eligible.service,
+                self._workers_to_search(task, eligible, eligible.scope(task)),
                 self.fleet.interference_model)
         if self.ranking is None:
             self.ranking = placing.Ranking(
-                task, site.service,
-                self._untried(task, site, site.scope(task)),
+                task, eligible.service,
+                self._workers_to_search(task, eligible, eligible.scope(task)),
                 self.fleet.interference_model)
         return self.ranking.best()
 
-    def _untried(self, task: progress.TaskState, site: Site,
-                 scope: shortage.Scope) -> list[workerstate.WorkerState]:
-        """Return the workers that may have room for a task by now."""
-        if site.tickets is not None or not self.policy.remember_shortage:
-            return site.workers
-        return self.fleet.placement_misses.untried(scope, task.step.room,
-                                                   site.workers)
-
-    def _exclude(self, worker: workerstate.WorkerState,
-                 *lists: list[workerstate.WorkerState]) -> None:
+    def _workers_to_search(self, task: progress.TaskState,
+                           eligible: EligibleWorkers,
+                           scope: placement_cache.SearchScope
+                           ) -> list[workerstate.WorkerState]:
+        """Return the workers on which a task may fit by now."""
+        if eligible.tickets is not None or not self.policy.remember_shortage:
+            return eligible.workers
+        return self.fleet.placement_misses.workers_to_search(
+            scope, task.step.room, eligible.workers)
+
+    def _exclude_worker(self, worker: workerstate.WorkerState,
+                        *worker_lists: list[workerstate.WorkerState]) -> None:
         """Start nothing more on a worker in this round.
 
-        In the next one it counts as changed: what finds no room now has not
-        been tried there.
+        The next round treats the worker as changed, because requests that
+        can't be placed in this round have not been tried on it.
         """
         self.excluded.append(worker)
         self.ranking = None
-        for workers in lists:
+        for workers in worker_lists:
             if worker in workers:
                 workers.remove(worker)
 
     def finish(self) -> None:
-        """Let the next round try what this one left out."""
+        """Mark excluded workers as changed for the next round."""
         for worker in self.excluded:
             worker.record_change()
 
-    def _place_lasting(self, state: progress.JobState,
-                       task: progress.TaskState, site: Site,
-                       part: headroom.Part) -> bool:
-        """Start a lasting task where it leaves room; tell if it was.
+    def _place_long_running(self, state: progress.JobState,
+                            task: progress.TaskState,
+                            eligible: EligibleWorkers,
+                            required: headroom.RequiredHeadroom) -> bool:
+        """Start a long-running task where enough headroom remains.
 
-        Less urgent runs give way to it as to any, but only where it may go.
+        Lower-priority runs are preempted for it as for any task, but only on
+        workers that it may use.  Return whether it was started.
         """
-        if self._waits(state, task, site, part):
+        if self._is_held_back(state, task, eligible, required):
             return False
-        need = task.step.room
-        scope = site.scope(task)
-        room = self._headroom(state, site)
-        workers = room.allowed(part, task.step, site.workers)
-        if not self.shortage.covers(scope, need):
-            worker = (self._choose(task, site) if workers is site.workers
-                      else placing.choose(task, site.service, workers,
+        request = task.step.room
+        scope = eligible.scope(task)
+        headroom_ = self._headroom_for(state, eligible)
+        workers = headroom_.allowed_workers(
+            required, task.step, eligible.workers)
+        if not self.unplaceable.covers(scope, request):
+            worker = (self._choose_worker(task, eligible)
+                      if workers is eligible.workers
+                      else placing.choose(task, eligible.service, workers,
                                           self.fleet.interference_model))
             if worker is not None:
-                self._start(state, task, worker, site)
+                self._start(state, task, worker, eligible)
                 return True
-        if not self._make_room(state, task,
-                               dataclasses.replace(site, workers=workers)):
-            self.held[part].add(scope, need)
+        if not self._preempt_for(state, task,
+                                 dataclasses.replace(eligible,
+                                                     workers=workers)):
+            self.held_back[required].add(scope, request)
         return False
 
-    def _waits(self, state: progress.JobState, task: progress.TaskState,
-               site: Site, part: headroom.Part) -> bool:
-        """Tell whether a lasting task is known not to start in this round.
+    def _is_held_back(self, state: progress.JobState, task: progress.TaskState,
+                      eligible: EligibleWorkers,
+                      required: headroom.RequiredHeadroom) -> bool:
+        """Return whether a long-running task can't start in this round.
 
-        All of its step that leave as much room wait with it.
+        This holds for all tasks of its step that must leave as much headroom.
         """
-        if self.held[part].covers(site.scope(task), task.step.room):
+        if self.held_back[required].covers(
+                eligible.scope(task), task.step.room):
             return True
-        return (part is headroom.Part.REST and self._headroom(
-            state, site).settling(self.now - state.first_ready_at))
+        return (required is headroom.RequiredHeadroom.ALL
+                and self._headroom_for(state, eligible).delays_remaining_tasks(
+                    self.now - state.first_ready_at))
 
-    def _headroom(self, state: progress.JobState,
-                  site: Site) -> headroom.Headroom:
+    def _headroom_for(self, state: progress.JobState,
+                      eligible: EligibleWorkers) -> headroom.Headroom:
         priority = ordering.priority(state, self.queues)
-        room = self.headrooms.get((site.service, priority))
-        if room is None:
-            room = headroom.Headroom(
-                [w for w in self.usable
-                 if w.entry.service == site.service],
+        headroom_ = self.headrooms.get((eligible.service, priority))
+        if headroom_ is None:
+            headroom_ = headroom.Headroom(
+                [w for w in self.usable_workers
+                 if w.entry.service == eligible.service],
                 self.fleet.demand, priority, self.now)
-            self.headrooms[site.service, priority] = room
-        return room
+            self.headrooms[eligible.service, priority] = headroom_
+        return headroom_
 
     def _start(self, state: progress.JobState, task: progress.TaskState,
-               worker: workerstate.WorkerState, site: Site) -> None:
+               worker: workerstate.WorkerState,
+               eligible: EligibleWorkers) -> None:
         self.fleet.start(state, task, worker, state.next_run_number(task),
-                         site.ticket(worker))
-        for room in self.headrooms.values():
-            room.started(worker, task.step.reserved().cpu)
-        self.coming.started(worker)
-
-    def _expects_room(self, state: progress.JobState,
-                      task: progress.TaskState, site: Site,
-                      scope: shortage.Scope) -> bool:
-        """Tell whether room is coming for a task, or make some."""
-        need = task.step.room
-        if task.step.fills or self.hopeless.covers(scope, need):
-            # What fills waits for processors that serving tasks leave.
+                         eligible.ticket(worker))
+        for headroom_ in self.headrooms.values():
+            headroom_.record_start(worker, task.step.reserved().cpu)
+        self.freeing.record_start(worker)
+
+    def _expects_capacity(self, state: progress.JobState,
+                          task: progress.TaskState, eligible: EligibleWorkers,
+                          scope: placement_cache.SearchScope) -> bool:
+        """Return whether capacity is being freed; preempt runs if needed."""
+        request = task.step.room
+        if task.step.fills or self.no_capacity_expected.covers(scope, request):
+            # Best-effort tasks wait for CPU that other tasks leave unused.
             return False
-        if self._make_room(state, task, site):
+        if self._preempt_for(state, task, eligible):
             return True
-        self.hopeless.add(scope, need)
+        self.no_capacity_expected.add(scope, request)
         return False
 
-    def _keep_gap(self, task: progress.TaskState, site: Site,
-                  scope: shortage.Scope) -> bool:
-        """Let a lasting task that is down wait for a gap that grows.
+    def _reserve_worker(self, task: progress.TaskState,
+                        eligible: EligibleWorkers,
+                        scope: placement_cache.SearchScope) -> bool:
+        """Reserve a worker for a long-running task that is down.
 
-        Also where room is coming: others would count on it, too, and take
-        the part that is free already.
+        This is also needed where capacity is being freed: otherwise other
+        tasks would count on it too and use the part that is already free.
+        Return whether a worker was reserved.
         """
-        worker = self.gaps.claim(task, scope, site.tickets)
+        worker = self.reservations.reserve(task, scope, eligible.tickets)
         if worker is None:
             return False
-        self.coming.drop(worker)
-        self._exclude(worker, self.usable, site.workers)
+        self.freeing.discard(worker)
+        self._exclude_worker(worker, self.usable_workers, eligible.workers)
         return True
 
     def _place_gang(self, state: progress.JobState,
                     tasks: list[progress.TaskState],
-                    idle: list[progress.TaskState], site: Site) -> None:
-        """Start all members at once with one run number, or none."""
-        if len(idle) < len(tasks):
+                    startable: list[progress.TaskState],
+                    eligible: EligibleWorkers) -> None:
+        """Start all members of a gang with one run number, or none."""
+        if len(startable) < len(tasks):
             return
         run = max(state.next_run_number(t) for t in tasks)
-        chosen = gangs.choose(tasks, site.service, site.workers)
+        chosen = gangs.choose(tasks, eligible.service, eligible.workers)
         saved = max((t.saved for t in tasks), default="")
         for task, worker in zip(tasks, chosen):
             task.saved = saved
-            self.fleet.start(state, task, worker, run, site.ticket(worker))
+            self.fleet.start(state, task, worker, run, eligible.ticket(worker))
 
     def _place_suspected(self, state: progress.JobState,
                          tasks: list[progress.TaskState],
-                         idle: list[progress.TaskState],
+                         startable: list[progress.TaskState],
                          suspected: list[progress.TaskState],
-                         site: Site) -> None:
-        """Try the suspected tasks of a step apart, and start the others."""
+                         eligible: EligibleWorkers) -> None:
+        """Start suspected tasks of a step in quarantine, others as usual."""
         if tasks[0].step.gang:
-            if len(idle) == len(tasks):
-                self._try_apart(state, tasks, site)
+            if len(startable) == len(tasks):
+                self._place_in_quarantine(state, tasks, eligible)
             return
         for task in suspected:
-            self._try_apart(state, [task], site)
-        others = [task for task in idle if task not in suspected]
+            self._place_in_quarantine(state, [task], eligible)
+        others = [task for task in startable if task not in suspected]
         if others:
-            self._place_tasks(state, tasks, others, site)
-
-    def _try_apart(self, state: progress.JobState,
-                   tasks: list[progress.TaskState], site: Site) -> None:
-        """Start suspected tasks where a crash could only come from them."""
-        trial = self.fleet.trials.by_task.get(tasks[0].task)
-        if trial is None:
-            self._set_aside(state, tasks, site)
+            self._place_tasks(state, tasks, others, eligible)
+
+    def _place_in_quarantine(self, state: progress.JobState,
+                             tasks: list[progress.TaskState],
+                             eligible: EligibleWorkers) -> None:
+        """Start suspected tasks where only they could cause a crash."""
+        quarantine = self.fleet.trials.by_task.get(tasks[0].task)
+        if quarantine is None:
+            self._quarantine_workers(state, tasks, eligible)
             return
         workers = self.fleet.workers
-        if trial.run or trial.inherited:
+        if quarantine.run or quarantine.inherited:
             return
-        if not trials.is_ready(trial, workers, self.now):
+        if not trials.is_ready(quarantine, workers, self.now):
             return
-        if not trials.fits(trial, workers, site.service, site.tickets):
-            self.fleet.trials.remove(trial, "no room or not allowed")
+        if not trials.fits(quarantine, workers, eligible.service,
+                           eligible.tickets):
+            self.fleet.trials.remove(quarantine, "does not fit or not allowed")
             return
-        self._start_trial(trial, site)
-
-    def _start_trial(self, trial: trials.Trial, site: Site) -> None:
-        state = trial.job
-        trial.run = max(state.next_run_number(task)
-                        for task, _ in trial.members)
-        saved = max(task.saved for task, _ in trial.members)
+        self._start_quarantine_run(quarantine, eligible)
+
+    def _start_quarantine_run(self, quarantine: trials.Trial,
+                              eligible: EligibleWorkers) -> None:
+        state = quarantine.job
+        quarantine.run = max(state.next_run_number(task)
+                             for task, _ in quarantine.members)
+        saved = max(task.saved for task, _ in quarantine.members)
         events.emit(events.TRIAL_BEGUN, runs=[
-            (str(task.task), trial.run, worker_id)
-            for task, worker_id in trial.members])
-        for task, worker_id in trial.members:
+            (str(task.task), quarantine.run, worker_id)
+            for task, worker_id in quarantine.members])
+        for task, worker_id in quarantine.members:
             task.saved = saved
             worker = self.fleet.workers[worker_id]
-            self.fleet.start(state, task, worker, trial.run,
-                             site.ticket(worker))
-
-    def _set_aside(self, state: progress.JobState,
-                   tasks: list[progress.TaskState], site: Site) -> None:
-        """Keep workers free of other starts until the tasks run there."""
-        if not self.fleet.trials.may_add(self.workers_in_all):
+            self.fleet.start(state, task, worker, quarantine.run,
+                             eligible.ticket(worker))
+
+    def _quarantine_workers(self, state: progress.JobState,
+                            tasks: list[progress.TaskState],
+                            eligible: EligibleWorkers) -> None:
+        """Quarantine workers: only the given tasks may start there."""
+        if not self.fleet.trials.may_add(self.worker_count):
             return
-        chosen = self._choose_apart(tasks, site)
+        chosen = self._choose_quarantine_workers(tasks, eligible)
         if not chosen and not tasks[0].step.gang:
-            self._wait_for_room(state, tasks[0], site, site.scope(tasks[0]))
+            self._wait_for_capacity(
+                state, tasks[0], eligible, eligible.scope(tasks[0]))
         if not chosen:
             return
         members = [(task, worker.entry.worker_id)
@@ -376,93 +418,102 @@
         self.fleet.trials.add(trials.Trial(state, members, self.now))
         state.dirty = self.fleet.commit_requested = True
         for worker in chosen:
-            self.coming.drop(worker)
-            self._exclude(worker, self.usable, site.workers)
-
-    def _choose_apart(self, tasks: list[progress.TaskState], site: Site
-                      ) -> list[workerstate.WorkerState]:
-        """Return workers to set aside, if possible without young runs."""
-        quiet = [worker for worker in site.workers
-                 if not trials.has_young_run(worker, self.now)]
-        for workers in (quiet, site.workers):
+            self.freeing.discard(worker)
+            self._exclude_worker(worker, self.usable_workers, eligible.workers)
+
+    def _choose_quarantine_workers(self, tasks: list[progress.TaskState],
+                                   eligible: EligibleWorkers
+                                   ) -> list[workerstate.WorkerState]:
+        """Return workers to quarantine, preferably without recent starts."""
+        without_recent_starts = [worker for worker in eligible.workers
+                                 if not trials.has_young_run(worker, self.now)]
+        for workers in (without_recent_starts, eligible.workers):
             if tasks[0].step.gang:
-                chosen = gangs.choose(tasks, site.service, workers)
+                chosen = gangs.choose(tasks, eligible.service, workers)
             else:
-                best = placing.choose(tasks[0], site.service, workers,
+                best = placing.choose(tasks[0], eligible.service, workers,
                                       self.fleet.interference_model)
                 chosen = [best] if best is not None else []
             if chosen:
                 return chosen
         return []
 
-    def move_stalled(self) -> None:
-        """Stop runs that make little progress if others have room."""
+    def move_one_stalled_run(self) -> None:
+        """Stop one run that makes little progress, if it can run elsewhere."""
         for worker in self.fleet.workers.values():
             for task in (list(worker.tasks.values())
                          if worker.has_stalled_run else ()):
-                if not self._stalled(task):
+                if not self._is_stalled(task):
                     continue
-                target = self._better_place(worker, task)
+                target = self._find_move_target(worker, task)
                 if target is not None:
                     self.fleet.stop_run(task, "little progress here")
-                    # Until it is placed there, others must not count on
-                    # the same processors.
-                    self._exclude(target, self.usable)
+                    # No other task may use this capacity before the run is
+                    # placed there.
+                    self._exclude_worker(target, self.usable_workers)
                     return
 
-    def _better_place(self, worker: workerstate.WorkerState,
-                      task: progress.TaskState
-                      ) -> workerstate.WorkerState | None:
-        """Return another worker that has room for a run, or None."""
-        site = self._site(self.fleet.jobs[task.task.job_id], task)
-        scope = site.scope(task)
-        if self.shortage.covers(scope, task.step.room):
+    def _find_move_target(self, worker: workerstate.WorkerState,
+                          task: progress.TaskState
+                          ) -> workerstate.WorkerState | None:
+        """Return another worker on which a run fits, or None."""
+        eligible = self._eligible_workers(
+            self.fleet.jobs[task.task.job_id], task)
+        scope = eligible.scope(task)
+        if self.unplaceable.covers(scope, task.step.room):
             return None
-        others = [w for w in self._untried(task, site, scope)
+        others = [w for w in self._workers_to_search(task, eligible, scope)
                   if w is not worker]
-        target = placing.choose(task, site.service, others,
+        target = placing.choose(task, eligible.service, others,
                                 self.fleet.interference_model)
         if target is None:
-            self.shortage.add(scope, task.step.room)
-            if site.tickets is None and not placing.fits(
+            self.unplaceable.add(scope, task.step.room)
+            if eligible.tickets is None and not placing.fits(
                     worker, task.step, self.fleet.interference_model):
-                # Nor could another such run start where this one is.
+                # The current worker would not take another such run either,
+                # so the request fits on no worker at all.
                 self.fleet.placement_misses.add(scope, task.step.room)
         return target
 
-    def _stalled(self, task: progress.TaskState) -> bool:
+    def _is_stalled(self, task: progress.TaskState) -> bool:
         if task.phase != progress.RUNNING or task.step.gang:
             return False
         return pacer.stalls(task) and (
-            task.stuck or self.now - task.slowed_at >= STALLED_S)
+            task.stuck or self.now - task.slowed_at >= MOVE_STALLED_AFTER_S)
 
-    def _make_room(self, state: progress.JobState,
-                   task: progress.TaskState, site: Site) -> bool:
-        """Stop less urgent runs for a task; tell if it can expect room."""
-        if self.coming.take(task, site.service, site.workers):
+    def _preempt_for(self, state: progress.JobState,
+                     task: progress.TaskState,
+                     eligible: EligibleWorkers) -> bool:
+        """Preempt lower-priority runs for a task unless capacity is freed.
+
+        Return whether the task can expect capacity.
+        """
+        if self.freeing.claim(task, eligible.service, eligible.workers):
             return True
-        chosen = self._victims(state, task, site)
+        chosen = self._choose_victims(state, task, eligible)
         for victim in chosen:
             self.fleet.stop_run(victim, f"room for {task.task}")
         if chosen:
-            self.coming.stopped_for(
+            self.freeing.record_preemption(
                 task, self.fleet.workers[chosen[0].worker_id])
         return bool(chosen)
 
-    def _victims(self, state: progress.JobState, task: progress.TaskState,
-                 site: Site) -> list[progress.TaskState]:
-        """Return less urgent runs whose stop makes room for a task."""
+    def _choose_victims(self, state: progress.JobState,
+                        task: progress.TaskState,
+                        eligible: EligibleWorkers) -> list[progress.TaskState]:
+        """Return lower-priority runs to preempt so that a task fits."""
         priority = ordering.priority(state, self.queues)
-        scope = dataclasses.replace(site.scope(task), priority=priority)
-        workers = site.workers
-        remembers = (site.tickets is None and not task.step.perpetual
-                     and self.policy.remember_shortage)
-        if remembers:
-            workers = self.fleet.preemption_misses.untried(
+        scope = dataclasses.replace(eligible.scope(task), priority=priority)
+        workers = eligible.workers
+        remember_searches = (eligible.tickets is None
+                             and not task.step.perpetual
+                             and self.policy.remember_shortage)
+        if remember_searches:
+            workers = self.fleet.preemption_misses.workers_to_search(
                 scope, task.step.room, workers)
-        chosen = placing.victims(task, site.service, priority, workers,
-                                 self._task_priority)
-        if remembers and not chosen:
+        chosen = placing.choose_victims(task, eligible.service, priority,
+                                        workers, self._task_priority)
+        if remember_searches and not chosen:
             self.fleet.preemption_misses.add(scope, task.step.room)
         return chosen
 
@@ -472,23 +523,23 @@
 
 
 def place(fleet: state_mod.FleetState, now: float, wall_ms: float) -> None:
-    """Start every task whose turn has come and that has room."""
+    """Run one round: start all tasks that are ready and fit on a worker."""
     with fleet.lock:
         fleet.round_needed = False
-        fleet.demand.begin(now)
+        fleet.demand.start_observing(now)
         fleet.trials.review(fleet.workers, now)
         configuration = fleet.configuration()
         queues = configuration.queues_by_name()
         if configuration.version != fleet.placed_config_version:
-            # Priorities and services may have changed.
+            # Priorities and services of queues may have changed.
             fleet.placed_config_version = configuration.version
             fleet.placement_misses.clear()
             fleet.preemption_misses.clear()
-        ranked = ordering.ranked(
+        ranked = ordering.sort_jobs(
             (state for state in fleet.active.values()
              if not state.skip_rounds),
             queues, wall_ms, now, fleet.policy.rank_by_lateness)
-        round_ = Round(fleet, queues, _usable(fleet, now), now)
+        round_ = Round(fleet, queues, _usable_workers(fleet, now), now)
         for state in ranked:
             if state.created_revision <= fleet.fence and fleet.awaited_workers:
                 continue
@@ -496,43 +547,44 @@
                 continue
             _place_job(round_, state, wall_ms)
         if fleet.policy.move_stalled_runs:
-            round_.move_stalled()
+            round_.move_one_stalled_run()
         round_.finish()
 
 
-def _usable(fleet: state_mod.FleetState, now: float
-            ) -> list[workerstate.WorkerState]:
-    """Return the workers that may get new runs, and note the new ones.
+def _usable_workers(fleet: state_mod.FleetState, now: float
+                    ) -> list[workerstate.WorkerState]:
+    """Return the workers that may get new runs; mark new ones as changed.
 
-    With an old list none may: the room of any may have shrunk since.
+    No worker is usable if the list of workers is outdated, because any of
+    them may have lost capacity since.
     """
-    usable = []
+    usable_workers = []
     list_is_new = now - fleet.list_read_at <= state_mod.MAX_LIST_AGE_S
     for worker_id, worker in fleet.workers.items():
         is_usable = (list_is_new and worker.usable(now)
                      and worker_id not in fleet.trials.by_worker)
         if is_usable:
-            usable.append(worker)
+            usable_workers.append(worker)
             if not worker.was_usable:
                 worker.record_change()
         worker.was_usable = is_usable
-    return usable
+    return usable_workers
 
 
-def _note_arrival(round_: Round, state: progress.JobState) -> None:
-    """Learn from a job whose turn has come what comes how often."""
+def _record_arrival(round_: Round, state: progress.JobState) -> None:
+    """Add a job that became ready to the estimate of demand."""
     state.first_ready_at = round_.now
     if state.created_revision > round_.fleet.fence:
-        # Those of an earlier owner did not come just now.
+        # Jobs accepted under an earlier owner have not arrived just now.
         round_.fleet.demand.add_job(state.job, round_.now)
 
 
 def _place_job(round_: Round, state: progress.JobState,
                wall_ms: float) -> None:
-    """Start the tasks of a job whose turn has come.
+    """Start the ready tasks of a job.
 
-    A job of which nothing waits is passed over until one of its tasks is
-    idle again or done: on a full fleet that is most jobs.
+    A job without waiting tasks is skipped until one of its tasks becomes
+    idle or is done.  On a full fleet this applies to most jobs.
     """
     waits = state.long_running and state.down_since > 0.0
     for occurrence in range(state.job.occurrences()):
@@ -540,7 +592,7 @@
             waits = True
             break
         if not state.first_ready_at:
-            _note_arrival(round_, state)
+            _record_arrival(round_, state)
         state.create_tasks(occurrence)
         for step in range(len(state.job.steps)):
             waits |= round_.place_step(state, occurrence, step)
--- a/sycamorefield/fleet/state.py
+++ b/sycamorefield/fleet/state.py
@@ -18,10 +18,10 @@
 from sycamorefield.fleet import interference
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import pacer
+from sycamorefield.fleet import placement_cache
 from sycamorefield.fleet import policy as policy_mod
 from sycamorefield.fleet import progress
 from sycamorefield.fleet import runlog
-from sycamorefield.fleet import shortage
 from sycamorefield.fleet import trials
 from sycamorefield.fleet import workerstate
 
@@ -91,7 +91,7 @@
         self.owner_lease_until = math.inf
         self.interference_model = interference.Interference(
             policy.learn_weights, policy.limit_tails, policy.follow_slopes)
-        self.demand = demand.Demand()
+        self.demand = demand.DemandEstimator()
         self.pacer = pacer.Pacer(
             self.interference_model, send, policy.pace_filling)
         self.run_log = runlog.RunLog()
@@ -99,8 +99,8 @@
         self.advice.answered = self._advice_arrived
         # Requests that fitted on no worker, and requests for which no runs
         # could be preempted.
-        self.placement_misses = shortage.Misses()
-        self.preemption_misses = shortage.Misses()
+        self.placement_misses = placement_cache.SearchCache()
+        self.preemption_misses = placement_cache.SearchCache()
         # The version of the configuration used in the last round.
         self.placed_config_version = 0
         self.round_needed = False
--- a/sycamorefield/fleet/usage.py
+++ b/sycamorefield/fleet/usage.py
@@ -74,8 +74,8 @@
         workers = [w for w in fleet.workers.values() if w.listed]
         capacity_cpu = sum(w.entry.capacity.cpu for w in workers)
         memory_mb = sum(w.entry.capacity.mem_mb for w in workers)
-        kept_cpu = fleet.demand.most_room(capacity_cpu, now)
-        ahead_cpu = fleet.demand.ahead(capacity_cpu, now)
+        kept_cpu = fleet.demand.total_kept_cpu(capacity_cpu, now)
+        ahead_cpu = fleet.demand.kept_for_new_jobs_cpu(capacity_cpu, now)
         return Usage(
             capacity_cpu / 1000.0, sum(w.used.cpu for w in workers) / 1000.0,
             sum(w.used.mem_mb for w in workers) / max(1, memory_mb),
--- a/tests/test_fleet_regressions.py
+++ b/tests/test_fleet_regressions.py
@@ -154,10 +154,10 @@
                                 order, outcome, bench.now)
     state = bench.state.jobs["long-running"]
     for delay_s in (0.0, 0.5):
-        bench.now = down_at + ordering.DOWN_S + delay_s
+        bench.now = down_at + ordering.BOOST_AFTER_DOWN_S + delay_s
         rounds.place(bench.state, bench.now, 0)
         assert state.tasks[0, 0][0].phase == progress.IDLE
-    assert ordering.interrupted(state, bench.now)
+    assert ordering.is_interrupted(state, bench.now)
 
 
 @pytest.mark.parametrize("long_ms", [20_000, 60_000])
@@ -226,7 +226,7 @@
     long_running_task.not_before = bench.now + 4.0
     assert len(bench.place()) == 8
     long_running_task.not_before = 0.0
-    bench.now += ordering.DOWN_S + 0.5
+    bench.now += ordering.BOOST_AFTER_DOWN_S + 0.5
     end_numbers = {"i-0": 1, "i-1": 1}
 
     def end(worker_id: str) -> None:
@@ -301,13 +301,14 @@
         store, bench.state, "owner", lambda: True, lambda reason: None,
         lambda stored_ends: None)
     counts = []
-    waiting = bench.state.waiting
+    waiting = bench.state.count_waiting_jobs
 
     def counting_waiting():
         counts.append(1)
         return waiting()
 
-    monkeypatch.setattr(bench.state, "waiting", counting_waiting)
+    monkeypatch.setattr(bench.state, "count_waiting_jobs",
+                        counting_waiting)
     now = [1000.0]
     monkeypatch.setattr(recorder_mod.time, "monotonic", lambda: now[0])
     for _ in range(50):
