--- a/bench/load_forecast.py
+++ b/bench/load_forecast.py
@@ -15,22 +15,22 @@
 SEEDS = range(4)
 
 
-def measure(slopes: bool) -> None:
+def measure(follow_slopes: bool) -> None:
     """Print the mean error and the mean excess over some seeds."""
     errors = [error for seed in SEEDS
               for error in test_fleet_interference.forecast_errors(
-                  seed, slopes)]
-    wrong = sum(abs(error) for error in errors) / len(errors)
-    excess = sum(max(0.0, error) for error in errors) / len(errors)
-    told = "by its slope" if slopes else "to rise at any time"
-    print(f"load taken {told}: wrong by {wrong:.3f}, "
-          f"too high by {excess:.3f} on average")
+                  seed, follow_slopes)]
+    mean_error = sum(abs(error) for error in errors) / len(errors)
+    mean_excess = sum(max(0.0, error) for error in errors) / len(errors)
+    rise_model = "by its slope" if follow_slopes else "to rise at any time"
+    print(f"load taken {rise_model}: wrong by {mean_error:.3f}, "
+          f"too high by {mean_excess:.3f} on average")
 
 
 def main() -> int:
     """Measure both ways."""
-    for slopes in (False, True):
-        measure(slopes)
+    for follow_slopes in (False, True):
+        measure(follow_slopes)
     return 0
 
 
--- a/sycamorefield/fleet/advice.py
+++ b/sycamorefield/fleet/advice.py
@@ -16,12 +16,12 @@
 
 # Workers named in one call.  The objective of a job leaves time for one call
 # on 30 workers a step.
-WORKERS_PER_CALL = 30
+MAX_WORKERS_PER_CALL = 30
 # A ticket is used until this long before it ends: a start takes some
 # milliseconds on its way, and one that comes too late is rejected.
-USE_BEFORE_END_S = 0.5
-RETRY_PAUSE_S = 0.2
-IDLE_WAIT_S = 0.5
+EXPIRY_MARGIN_S = 0.5
+RETRY_DELAY_S = 0.2
+MAX_IDLE_WAIT_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -29,11 +29,11 @@
     """Allow starts of a step on one worker until a moment of clock.now()."""
 
     text: str
-    until: float
+    valid_until: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Question:
+class AdviceRequest:
     """Ask about one step and some workers."""
 
     step: messages.StepId
@@ -41,92 +41,99 @@
     policy: messages.AdvicePolicy
 
 
-class AdviceBook:
+class AdviceCache:
     """Hold what was advised, and ask what placing wants to know."""
 
     def __init__(self, service: surroundings.AdviceService | None) -> None:
         self.service = service
         self.lock = threading.Condition()
         self.tickets: dict[messages.StepId, dict[str, Ticket]] = {}
-        self.unfit: dict[messages.StepId, set[str]] = {}
-        self.wanted: dict[messages.StepId, Question] = {}
-        self.answered: typing.Callable[[], None] = lambda: None
+        self.rejected_workers: dict[messages.StepId, set[str]] = {}
+        self.pending: dict[messages.StepId, AdviceRequest] = {}
+        self.on_answer: typing.Callable[[], None] = lambda: None
 
-    def valid(self, step: messages.StepId, now: float) -> dict[str, str]:
+    def valid_tickets(self, step: messages.StepId,
+                      now: float) -> dict[str, str]:
         """Return the tickets that can still be used, by worker."""
         with self.lock:
             return {worker_id: ticket.text for worker_id, ticket
                     in self.tickets.get(step, {}).items()
-                    if ticket.until - USE_BEFORE_END_S > now}
-
-    def want(self, step: messages.StepId, workers: typing.Iterable[str],
-             policy: messages.AdvicePolicy, now: float) -> None:
+                    if ticket.valid_until - EXPIRY_MARGIN_S > now}
+
+    def request_advice(
+            self,
+            step: messages.StepId,
+            workers: typing.Iterable[str],
+            policy: messages.AdvicePolicy,
+            now: float) -> None:
         """Ask about those of some workers that nothing is known of."""
-        valid = self.valid(step, now)
+        valid_tickets = self.valid_tickets(step, now)
         with self.lock:
-            unfit = self.unfit.get(step, set())
-            names = [w for w in workers if w not in valid
-                     and w not in unfit][:WORKERS_PER_CALL]
-            if names and step not in self.wanted:
-                self.wanted[step] = Question(step, tuple(names), policy)
+            rejected_workers = self.rejected_workers.get(step, set())
+            worker_ids = [w for w in workers if w not in valid_tickets
+                          and w not in rejected_workers][:MAX_WORKERS_PER_CALL]
+            if worker_ids and step not in self.pending:
+                self.pending[step] = AdviceRequest(
+                    step, tuple(worker_ids), policy)
                 self.lock.notify_all()
 
-    def drop(self, step: messages.StepId, worker_id: str) -> None:
+    def discard_ticket(self, step: messages.StepId, worker_id: str) -> None:
         """Forget a ticket that the worker did not take."""
         with self.lock:
             self.tickets.get(step, {}).pop(worker_id, None)
 
-    def forget(self, job_id: str) -> None:
+    def forget_job(self, job_id: str) -> None:
         """Forget all about a job that has ended."""
         with self.lock:
-            for step in [s for s in self.unfit if s.job_id == job_id]:
-                del self.unfit[step]
+            for step in [
+                    s for s in self.rejected_workers if s.job_id == job_id]:
+                del self.rejected_workers[step]
                 self.tickets.pop(step, None)
-            for step in [s for s in self.wanted if s.job_id == job_id]:
-                del self.wanted[step]
+            for step in [s for s in self.pending if s.job_id == job_id]:
+                del self.pending[step]
 
-    def run(self, over: threading.Event) -> None:
+    def run(self, stop_event: threading.Event) -> None:
         """Ask question after question until told that it is over."""
-        while not over.is_set():
-            question = self._next()
-            if question is None:
+        while not stop_event.is_set():
+            request = self._next_request()
+            if request is None:
                 continue
-            if not self.ask(question):
-                over.wait(RETRY_PAUSE_S)
+            if not self.fetch(request):
+                stop_event.wait(RETRY_DELAY_S)
 
-    def _next(self) -> Question | None:
+    def _next_request(self) -> AdviceRequest | None:
         with self.lock:
-            if not self.wanted:
-                self.lock.wait(IDLE_WAIT_S)
-            return next(iter(self.wanted.values()), None)
+            if not self.pending:
+                self.lock.wait(MAX_IDLE_WAIT_S)
+            return next(iter(self.pending.values()), None)
 
-    def ask(self, question: Question) -> bool:
+    def fetch(self, request: AdviceRequest) -> bool:
         """Ask one question; tell whether it was answered."""
         try:
             if self.service is None:
                 raise surroundings.CallRefused("no advice service is set")
-            advised = self.service.advise(str(question.step), question.workers,
-                                          question.policy)
+            advice = self.service.advise(str(request.step), request.workers,
+                                         request.policy)
         except surroundings.CallFailed as exc:
-            events.emit(events.ADVICE_MISSING, step=str(question.step),
+            events.emit(events.ADVICE_MISSING, step=str(request.step),
                         reason=str(exc))
             return False
-        good = advised.tickets
-        valid_ms = (question.policy.valid_ms if advised.valid_ms is None
-                    else advised.valid_ms)
+        tickets_by_worker = advice.tickets
+        valid_ms = (request.policy.valid_ms if advice.valid_ms is None
+                    else advice.valid_ms)
         # A ticket is made out when the service answers.
-        until = clock.now() + valid_ms / 1000.0
-        events.emit(events.ADVICE_GIVEN, step=str(question.step),
-                    asked=len(question.workers), good=len(good))
+        valid_until = clock.now() + valid_ms / 1000.0
+        events.emit(events.ADVICE_GIVEN, step=str(request.step),
+                    asked=len(request.workers), good=len(tickets_by_worker))
         with self.lock:
-            if question.step not in self.wanted:
+            if request.step not in self.pending:
                 # The job has ended meanwhile.
                 return True
-            tickets = self.tickets.setdefault(question.step, {})
-            for worker_id, text in good.items():
-                tickets[worker_id] = Ticket(text, until)
-            self.unfit.setdefault(question.step, set()).update(
-                set(question.workers) - set(good))
-            del self.wanted[question.step]
-        self.answered()
+            tickets = self.tickets.setdefault(request.step, {})
+            for worker_id, text in tickets_by_worker.items():
+                tickets[worker_id] = Ticket(text, valid_until)
+            self.rejected_workers.setdefault(request.step, set()).update(
+                set(request.workers) - set(tickets_by_worker))
+            del self.pending[request.step]
+        self.on_answer()
         return True
--- a/sycamorefield/fleet/answers.py
+++ b/sycamorefield/fleet/answers.py
@@ -72,7 +72,7 @@
         if reason == surroundings.NO_ROOM:
             worker.avoid_until = now + NO_ROOM_S
         elif reason == surroundings.NO_TICKET:
-            fleet.advice.drop(task.task.step_id(), worker_id)
+            fleet.advice.discard_ticket(task.task.step_id(), worker_id)
         elif reason == surroundings.UNHEALTHY:
             worker.avoid_until = now + UNHEALTHY_S
         elif reason == surroundings.OLD_RUN:
--- a/sycamorefield/fleet/crashes.py
+++ b/sycamorefield/fleet/crashes.py
@@ -13,14 +13,14 @@
 
 # The end of a crashed worker shows this soon after its last answer, or when it
 # is born again; one that was cut off for longer may have ended meanwhile.
-SILENT_AT_MOST_S = 1.5
+MAX_UNRESPONSIVE_S = 1.5
 # Workers of a rack that end within this share a cause; the ends of those that
 # do are noticed within the shorter time.
-RACK_WINDOW_S = 2.0
-RACK_SPREAD_S = 0.25
+MAX_RACK_FAILURE_WINDOW_S = 2.0
+MIN_RACK_FAILURE_WINDOW_S = 0.25
 # Of so many runs that had just begun each is likely enough the cause to be
 # tried at once; of more only those under which another worker crashes.
-FEW_RUNS = 3
+MAX_LIKELY_CAUSES = 3
 
 
 class Verdict(enum.Enum):
@@ -29,13 +29,13 @@
     CRASH = "crash"
     DRAINED = "was draining"
     UNLISTED = "was never listed"
-    OLD_LIST = "list is too old to show a drain"
-    DARK = "was silent for long"
-    NOBODY = "no young run, or its rack failed"
+    STALE_LIST = "list is too old to show a drain"
+    UNRESPONSIVE = "was silent for long"
+    NO_SUSPECT = "no young run, or its rack failed"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Exposed:
+class ExposedRun:
     """Hold a task whose run was on a worker that ended, and the run's age."""
 
     task: progress.TaskState
@@ -43,21 +43,28 @@
     age_s: float
 
 
-def worker_reborn(fleet: state_mod.FleetState, worker_id: str) -> None:
+def worker_restarted(fleet: state_mod.FleetState, worker_id: str) -> None:
     """Note that another incarnation answers at a worker's address."""
-    _worker_dead(fleet, worker_id, "reborn", reborn=True)
+    _handle_worker_end(fleet, worker_id, "reborn", restarted=True)
 
 
-def worker_refuses(fleet: state_mod.FleetState, worker_id: str) -> None:
+def worker_refused_connection(
+        fleet: state_mod.FleetState,
+        worker_id: str) -> None:
     """Note that a worker's address refuses connections."""
-    _worker_dead(fleet, worker_id, "nobody listens there", reborn=False)
+    _handle_worker_end(
+        fleet, worker_id, "nobody listens there", restarted=False)
 
 
-def _worker_dead(fleet: state_mod.FleetState, worker_id: str, reason: str,
-                 reborn: bool) -> None:
+def _handle_worker_end(
+        fleet: state_mod.FleetState,
+        worker_id: str,
+        reason: str,
+        restarted: bool) -> None:
     with fleet.lock:
         worker = fleet.workers.get(worker_id)
-        suspects = [] if worker is None else _suspects(fleet, worker, reborn)
+        suspects = [] if worker is None else _record_suspects(
+            fleet, worker, restarted)
         fleet.worker_dead(worker_id, reason)
         for suspect in suspects:
             if suspect.task.job is not None:
@@ -66,94 +73,109 @@
                 fleet.settle(suspect.task.job)
 
 
-def _suspects(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
-              reborn: bool) -> list[Exposed]:
+def _record_suspects(
+        fleet: state_mod.FleetState,
+        worker: workerstate.WorkerState,
+        restarted: bool) -> list[ExposedRun]:
     """Return the tasks that a crash is held against, having noted it."""
     now = clock.now()
-    at = worker.silent_at if worker.silent else now
-    on_trial = fleet.trials.on(worker.entry.worker_id)
-    exposed = _exposed(fleet, worker, at)
-    tried = [e for e in exposed if e.task in on_trial]
-    if not exposed:
+    ended_at = worker.silent_at if worker.silent else now
+    quarantined_tasks = fleet.trials.tasks_on(worker.entry.worker_id)
+    exposed_runs = _find_exposed_runs(fleet, worker, ended_at)
+    quarantined_runs = [exposed for exposed in exposed_runs
+                        if exposed.task in quarantined_tasks]
+    if not exposed_runs:
         return []
-    verdict = _verdict(fleet, worker, at, now, reborn)
+    verdict = _classify_end(fleet, worker, ended_at, now, restarted)
     suspects = []
     if verdict is Verdict.CRASH:
-        suspects = [e for e in tried or _young(exposed)
-                    if not _rack_failed(fleet, worker.entry, at, e.age_s)]
+        suspects = [exposed for exposed
+                    in quarantined_runs or _possible_causes(exposed_runs)
+                    if not _rack_failed(fleet, worker.entry, ended_at,
+                                        exposed.age_s)]
         if not suspects:
-            verdict = Verdict.NOBODY
-        _note(suspects, worker.entry.worker_id, bool(tried))
+            verdict = Verdict.NO_SUSPECT
+        _record_crash(suspects, worker.entry.worker_id, bool(quarantined_runs))
     events.emit(events.WORKER_CRASHED, worker=worker.entry.worker_id,
                 verdict=verdict.value, rack=worker.entry.rack(),
-                trial=bool(tried), runs=[
-                    (str(e.task.task), e.run, round(e.age_s, 3))
-                    for e in suspects])
+                trial=bool(quarantined_runs), runs=[
+                    (str(exposed.task.task), exposed.run,
+                     round(exposed.age_s, 3))
+                    for exposed in suspects])
     return suspects
 
 
-def _note(suspects: list[Exposed], worker_id: str, in_trial: bool) -> None:
+def _record_crash(
+        suspects: list[ExposedRun],
+        worker_id: str,
+        in_quarantine: bool) -> None:
     """Note a crash with each task that may be its cause."""
-    began = [s for s in suspects if s.age_s < suspicion.AT_START_S]
+    just_started = [s for s in suspects if s.age_s <
+                    suspicion.STARTUP_WINDOW_S]
     for suspect in suspects:
         task = suspect.task
         if task.suspicion is None:
             task.suspicion = suspicion.Suspicion()
-        likely = suspect in began and len(began) <= FEW_RUNS
-        task.suspicion.add(worker_id, suspect.age_s, likely, in_trial)
+        likely = suspect in just_started and len(
+            just_started) <= MAX_LIKELY_CAUSES
+        task.suspicion.add_crash(
+            worker_id, suspect.age_s, likely, in_quarantine)
 
 
-def _young(exposed: list[Exposed]) -> list[Exposed]:
+def _possible_causes(exposed_runs: list[ExposedRun]) -> list[ExposedRun]:
     """Return the tasks that may be the cause; forget what others did."""
-    young = []
-    for one in exposed:
-        if one.age_s < suspicion.HARMLESS_AFTER_S:
-            young.append(one)
+    possible_causes = []
+    for exposed in exposed_runs:
+        if exposed.age_s < suspicion.MAX_SUSPECT_AGE_S:
+            possible_causes.append(exposed)
         else:
-            one.task.suspicion = None
-    return young
+            exposed.task.suspicion = None
+    return possible_causes
 
 
-def _exposed(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
-             at: float) -> list[Exposed]:
+def _find_exposed_runs(
+        fleet: state_mod.FleetState,
+        worker: workerstate.WorkerState,
+        ended_at: float) -> list[ExposedRun]:
     """Return the tasks that may have been at work when a worker ended."""
     found = []
     for (name, run), task in worker.tasks.items():
-        begun = (name, run) not in worker.unsent | worker.never_began
-        if begun and fleet.is_current(worker, task, run):
+        may_have_started = (
+            name, run) not in worker.unsent | worker.never_began
+        if may_have_started and fleet.is_current(worker, task, run):
             # A start without an answer may have been carried out just then.
-            age_s = max(0.0, at - task.started) if task.started else 0.0
-            found.append(Exposed(task, run, age_s))
+            age_s = max(0.0, ended_at - task.started) if task.started else 0.0
+            found.append(ExposedRun(task, run, age_s))
     if worker.reported:
         return found
     # An earlier owner set the worker aside for these.
-    here = {one.task for one in found}
-    return found + [Exposed(task, task.last_run, _usual_age_s(task))
-                    for task in fleet.trials.on(worker.entry.worker_id)
-                    if task not in here and task.phase == progress.IDLE]
+    found_tasks = {exposed.task for exposed in found}
+    return found + [ExposedRun(task, task.last_run, _last_crash_age_s(task))
+                    for task in fleet.trials.tasks_on(worker.entry.worker_id)
+                    if task not in found_tasks and task.phase == progress.IDLE]
 
 
-def _usual_age_s(task: progress.TaskState) -> float:
+def _last_crash_age_s(task: progress.TaskState) -> float:
     """Return how old runs of a task were at its last crash, or 0."""
     ages_s = task.suspicion.ages_s if task.suspicion is not None else []
     return ages_s[-1] if ages_s else 0.0
 
 
-def _verdict(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
-             at: float, now: float, reborn: bool) -> Verdict:
+def _classify_end(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
+                  ended_at: float, now: float, restarted: bool) -> Verdict:
     if worker.entry.draining:
         return Verdict.DRAINED
     if not (worker.listed or worker.was_listed):
         return Verdict.UNLISTED
-    if not fleet.saw_drains(at, now):
-        return Verdict.OLD_LIST
-    if now - at > SILENT_AT_MOST_S and not reborn:
-        return Verdict.DARK
+    if not fleet.saw_drains(ended_at, now):
+        return Verdict.STALE_LIST
+    if now - ended_at > MAX_UNRESPONSIVE_S and not restarted:
+        return Verdict.UNRESPONSIVE
     return Verdict.CRASH
 
 
 def _rack_failed(fleet: state_mod.FleetState, entry: messages.WorkerEntry,
-                 at: float, age_s: float) -> bool:
+                 ended_at: float, age_s: float) -> bool:
     """Tell whether most other workers of a rack ended while a run was there.
 
     A task can take one worker after the other, but not most of a rack at
@@ -162,12 +184,14 @@
     rack = entry.rack()
     if not rack:
         return False
-    since = at - max(RACK_SPREAD_S, min(RACK_WINDOW_S, age_s))
-    mates = [w for w in fleet.workers.values()
-             if w.entry.rack() == rack and not w.entry.draining
-             and w.entry.worker_id != entry.worker_id]
-    lost = sum(w.silent and w.silent_at >= since for w in mates)
-    lost += sum(ended.rack == rack and ended.at >= since
-                for ended in fleet.ended_lately)
-    fine = sum(w.reported and not w.silent for w in mates)
-    return lost > fine
+    window_start = ended_at - \
+        max(MIN_RACK_FAILURE_WINDOW_S, min(MAX_RACK_FAILURE_WINDOW_S, age_s))
+    rack_peers = [w for w in fleet.workers.values()
+                  if w.entry.rack() == rack and not w.entry.draining
+                  and w.entry.worker_id != entry.worker_id]
+    lost_count = sum(w.silent and w.silent_at >=
+                     window_start for w in rack_peers)
+    lost_count += sum(ended_worker.rack == rack and ended_worker.at >=
+                      window_start for ended_worker in fleet.ended_lately)
+    responsive_count = sum(w.reported and not w.silent for w in rack_peers)
+    return lost_count > responsive_count
--- a/sycamorefield/fleet/link.py
+++ b/sycamorefield/fleet/link.py
@@ -145,7 +145,7 @@
                 return 0
             if self.fleet.without_store:
                 return WORRIED_WAIT_MS
-            if self.fleet.trials.on(self.worker_id):
+            if self.fleet.trials.tasks_on(self.worker_id):
                 return TRIAL_WAIT_MS
             if worker.serving and worker.filling_cpu:
                 worst = max((t.ratio for t in worker.tails), default=1.0)
@@ -162,7 +162,7 @@
                     self.fleet.fence, self.recorded_upto, self._until(),
                     self._wait_ms())
             except surroundings.OtherIncarnation:
-                crashes.worker_reborn(self.fleet, self.worker_id)
+                crashes.worker_restarted(self.fleet, self.worker_id)
                 return
             except surroundings.OrderRejected as exc:
                 if self._fenced(exc):
@@ -195,7 +195,7 @@
         self.refusals += 1
         if (self.refusals >= REFUSALS_TO_END
                 and self.fleet.was_used(self.worker_id)):
-            crashes.worker_refuses(self.fleet, self.worker_id)
+            crashes.worker_refused_connection(self.fleet, self.worker_id)
             return True
         self._failed(exc)
         return False
@@ -221,7 +221,7 @@
             try:
                 self._send(order)
             except surroundings.OtherIncarnation:
-                crashes.worker_reborn(self.fleet, self.worker_id)
+                crashes.worker_restarted(self.fleet, self.worker_id)
                 return
 
     def _send(self, order: state_mod.Order) -> None:
--- a/sycamorefield/fleet/pacer.py
+++ b/sycamorefield/fleet/pacer.py
@@ -13,88 +13,103 @@
 
 # A filling run slowed to this share or less for a second moves to a worker
 # where it is expected to harm nobody, if there is one.
-STALLED_PACE = 10
+STALLED_PACE_PERCENT = 10
 
 Send = typing.Callable[[str, messages.PaceOrder], None]
 
 
-def stalls(task: progress.TaskState) -> bool:
+def is_stalled(task: progress.TaskState) -> bool:
     """Tell whether a run makes so little progress that it should move."""
     return task.stuck or (task.step.fills
-                          and 0 <= task.pace <= STALLED_PACE)
+                          and 0 <= task.pace <= STALLED_PACE_PERCENT)
 
 
 class Pacer:
     """Learn which images disturb which, and tell workers the paces."""
 
-    def __init__(self, learnt: interference.Interference,
-                 send: Send, paces: bool = True) -> None:
-        self.learnt = learnt
+    def __init__(self, model: interference.InterferenceModel,
+                 send: Send, enabled: bool = True) -> None:
+        self.model = model
         self.send = send
         # Whether shares are changed, or tails only learnt from.
-        self.paces = paces
+        self.enabled = enabled
 
-    def take(self, worker: workerstate.WorkerState,
-             report: messages.WorkerReport, now: float) -> None:
+    def process_report(self, worker: workerstate.WorkerState,
+                       report: messages.WorkerReport, now: float) -> None:
         """Learn from the tails of a report and pace what fills."""
         rows = [(row, worker.tasks[row.task, row.run])
                 for row in report.running
                 if (row.task, row.run) in worker.tasks]
-        filling = [(row, task) for row, task in rows if task.step.fills
-                   and task.phase != progress.STOPPING]
-        beside = [weights.Filler(task.step.image, row.figure / 1000.0)
-                  for row, task in filling]
+        best_effort_runs = [
+            (row, task) for row, task in rows
+            if task.step.fills and task.phase != progress.STOPPING]
+        best_effort_usage = [
+            weights.BestEffortUsage(
+                task.step.image,
+                row.figure / 1000.0) for row,
+            task in best_effort_runs]
         worker.tails = []
         worker.unused_cpu = 0.0
         for row, task in rows:
             if (task.step.target_ms and row.percent >= 100
                     and row.figure > 0):
-                self._take_tail(worker, row, task, beside, now)
+                self._record_tail(worker, row, task, best_effort_usage, now)
         if not placing.saturated(worker):
             for tail in worker.tails:
-                self.learnt.observe(tail, beside)
-        worker.over_reports = pacing.over_reports(worker.over_reports,
-                                                  worker.tails)
-        if not filling or not self.paces:
+                self.model.observe(tail, best_effort_usage)
+        worker.over_reports = pacing.reports_over_target(worker.over_reports,
+                                                         worker.tails)
+        if not best_effort_runs or not self.enabled:
             return
-        may_ease = now - worker.eased_at >= pacing.EASE_PAUSE_S
-        shares = pacing.paces(
+        may_raise = now - worker.eased_at >= pacing.RAISE_INTERVAL_S
+        next_paces = pacing.next_paces(
             worker.tails,
-            [pacing.Paced(task.step.image, task.step.room.cpu / 1000.0,
-                          row.figure / 1000.0, task.pace)
-             for row, task in filling],
-            worker.over_reports, may_ease, self.learnt)
-        self._send_paces(worker, [task for _, task in filling], shares, now)
+            [pacing.PacedRun(task.step.image, task.step.room.cpu / 1000.0,
+                             row.figure / 1000.0, task.pace)
+             for row, task in best_effort_runs],
+            worker.over_reports, may_raise, self.model)
+        self._send_paces(
+            worker, [task for _, task in best_effort_runs], next_paces, now)
 
-    def _take_tail(self, worker: workerstate.WorkerState,
-                   row: messages.RunningTask, task: progress.TaskState,
-                   beside: list[weights.Filler], now: float) -> None:
-        name = task.task
-        tail = self.learnt.tail(
-            task.step.image, row.figure, task.step.target_ms,
-            name.step_id(), (worker.entry.worker_id, name.number), beside, now)
+    def _record_tail(self,
+                     worker: workerstate.WorkerState,
+                     row: messages.RunningTask,
+                     task: progress.TaskState,
+                     best_effort_usage: list[weights.BestEffortUsage],
+                     now: float) -> None:
+        task_id = task.task
+        tail = self.model.add_report(
+            task.step.image,
+            row.figure,
+            task.step.target_ms,
+            task_id.step_id(),
+            (worker.entry.worker_id,
+             task_id.number),
+            best_effort_usage,
+            now)
         worker.tails.append(tail)
         worker.unused_cpu += task.step.room.cpu * (
             1.0 - tail.expected_load())
 
     def _send_paces(self, worker: workerstate.WorkerState,
-                    tasks: list[progress.TaskState], shares: list[int],
+                    tasks: list[progress.TaskState], next_paces: list[int],
                     now: float) -> None:
         changes = []
-        for task, share in zip(tasks, shares):
-            if task.pace == share or share < 0:
+        for task, next_pace in zip(tasks, next_paces):
+            if task.pace == next_pace or next_pace < 0:
                 continue
-            if share > task.pace:
+            if next_pace > task.pace:
                 worker.eased_at = now
             changes.append((str(task.task), task.run, task.step.image,
-                            share, task.pace))
-            if share <= STALLED_PACE < task.pace:
+                            next_pace, task.pace))
+            if next_pace <= STALLED_PACE_PERCENT < task.pace:
                 task.slowed_at = now
-            task.pace = share
+            task.pace = next_pace
             self.send(worker.entry.worker_id,
-                      messages.PaceOrder(task.task, task.run, share))
+                      messages.PaceOrder(task.task, task.run, next_pace))
         if changes:
             # Each change: task, run, image, new pace, pace before.
-            worst = max((t.ratio for t in worker.tails), default=0.0)
-            events.emit(events.PACE_CHANGED, worst=round(worst, 2),
+            worst_ratio = max(
+                (tail.ratio for tail in worker.tails), default=0.0)
+            events.emit(events.PACE_CHANGED, worst=round(worst_ratio, 2),
                         worker=worker.entry.worker_id, changes=changes)
--- a/sycamorefield/fleet/pacing.py
+++ b/sycamorefield/fleet/pacing.py
@@ -6,24 +6,24 @@
 
 # Tails are rough and half a second late.  Slowing before the target is
 # reached keeps a task from being over it for the time it takes to notice.
-SLOW_AT = 0.85
+THROTTLE_AT_RATIO = 0.85
 # What a cut aims at; what is eased must be expected to stay below it.
-AIM = 0.7
+TARGET_RATIO = 0.7
 # Reports between two eases: a tail shows a change after about a second.
-EASE_PAUSE_S = 0.5
-EASE_STEP = 50
+RAISE_INTERVAL_S = 0.5
+MAX_RAISE_PERCENT = 50
 # Below this share a run makes no progress worth its disturbance.
-LEAST = 10
+MIN_PACE_PERCENT = 10
 # Reports in a row over the target after which all filling runs stand still
 # if the tail is disturbed, whatever was learnt: a wrong weight must not keep
 # a tail up for seconds.  After the second number they stand still in any
 # case: the load may be taken for higher than it is.
-OVER_REPORTS = 4
-OVER_REPORTS_AT_MOST = 6
+REPORTS_BEFORE_PAUSE = 4
+REPORTS_BEFORE_FORCED_PAUSE = 6
 
 
 @dataclasses.dataclass(slots=True)
-class Paced:
+class PacedRun:
     """A filling run: its image, full demand, use now, and its share."""
 
     image: str
@@ -32,64 +32,77 @@
     pace: int
 
 
-def over_reports(before: int, tails: list[interference.Tail]) -> int:
+def reports_over_target(previous_count: int,
+                        tails: list[interference.TailLatency]) -> int:
     """Return for how many reports in a row a tail was over its target."""
-    return before + 1 if any(t.ratio >= 1.0 for t in tails) else 0
+    return previous_count + \
+        1 if any(tail.ratio >= 1.0 for tail in tails) else 0
 
 
-def paces(tails: list[interference.Tail], runs: list[Paced], over: int,
-          may_ease: bool, learnt: interference.Interference) -> list[int]:
+def next_paces(tails: list[interference.TailLatency],
+               runs: list[PacedRun],
+               reports_over: int,
+               may_raise: bool,
+               model: interference.InterferenceModel) -> list[int]:
     """Return the next share (0 to 100 percent) of each run."""
-    high = [t for t in tails if t.ratio >= SLOW_AT
-            and t.disturbance() >= interference.DISTURBED]
-    if over >= OVER_REPORTS_AT_MOST or (over >= OVER_REPORTS and high):
+    over_ratio = [tail for tail in tails if tail.ratio >= THROTTLE_AT_RATIO
+                  and tail.disturbance() >= interference.MIN_DISTURBANCE]
+    if reports_over >= REPORTS_BEFORE_FORCED_PAUSE or (
+            reports_over >= REPORTS_BEFORE_PAUSE and over_ratio):
         return [0] * len(runs)
-    if high:
-        return _cut(high, runs, learnt)
-    if may_ease:
-        return _ease(tails, runs, learnt)
+    if over_ratio:
+        return _throttle(over_ratio, runs, model)
+    if may_raise:
+        return _raise_paces(tails, runs, model)
     return [run.pace for run in runs]
 
 
-def _cut(tails: list[interference.Tail], runs: list[Paced],
-         learnt: interference.Interference) -> list[int]:
+def _throttle(tails: list[interference.TailLatency], runs: list[PacedRun],
+              model: interference.InterferenceModel) -> list[int]:
     """Slow the runs that weigh most on each tail that is too high.
 
     What no run is known for is put on all of them once a tail is over its
     target: processors that are all in use disturb every task alike.
     """
-    shares = [float(max(run.pace, 0)) for run in runs]
+    paces = [float(max(run.pace, 0)) for run in runs]
     for tail in tails:
-        need = min(tail.disturbance(),
-                   tail.utilisation - tail.at_ratio(AIM))
-        parts = [learnt.weight(tail.image, run.image) * run.used_cores
-                 for run in runs]
-        for i in sorted(range(len(runs)), key=lambda i: -parts[i]):
-            if need <= 0 or parts[i] < interference.HARMLESS:
+        excess = min(tail.disturbance(), tail.utilisation -
+                     tail.utilisation_at_ratio(TARGET_RATIO))
+        contributions = [model.weight(tail.image, run.image) * run.used_cores
+                         for run in runs]
+        for i in sorted(range(len(runs)), key=lambda i: -contributions[i]):
+            if (excess <= 0 or contributions[i]
+                    < interference.NEGLIGIBLE_UTILISATION):
                 break
-            part = min(need, parts[i])
-            shares[i] = min(shares[i],
-                            max(runs[i].pace, 0) * (1 - part / parts[i]))
-            need -= part
-        if need > interference.DISTURBED and tail.ratio >= 1.0:
-            left = max(0.0, 1 - need / tail.disturbance())
-            shares = [min(share, max(run.pace, 0) * left)
-                      for share, run in zip(shares, runs)]
-    return [int(s) if s >= LEAST else 0 for s in shares]
+            contribution = min(excess, contributions[i])
+            paces[i] = min(paces[i], max(runs[i].pace, 0) *
+                           (1 - contribution / contributions[i]))
+            excess -= contribution
+        if excess > interference.MIN_DISTURBANCE and tail.ratio >= 1.0:
+            kept_ratio = max(0.0, 1 - excess / tail.disturbance())
+            paces = [min(pace, max(run.pace, 0) * kept_ratio)
+                     for pace, run in zip(paces, runs)]
+    return [int(percent) if percent >= MIN_PACE_PERCENT else 0
+            for percent in paces]
 
 
-def _ease(tails: list[interference.Tail], runs: list[Paced],
-          learnt: interference.Interference) -> list[int]:
+def _raise_paces(tails: list[interference.TailLatency], runs: list[PacedRun],
+                 model: interference.InterferenceModel) -> list[int]:
     """Speed runs up as far as every tail is expected to allow."""
-    shares = []
-    expected = [dataclasses.replace(tail) for tail in tails]
+    paces = []
+    expected_tails = [dataclasses.replace(tail) for tail in tails]
     for run in runs:
         pace = run.pace
         if 0 <= pace < 100:
-            step = min(EASE_STEP, 100 - pace)
-            cores = run.demand_cores * step / 100.0
-            if learnt.stays_below(expected, run.image, cores, AIM):
-                pace += step
-                learnt.expect(expected, run.image, cores)
-        shares.append(pace if pace >= 0 else LEAST)
-    return shares
+            raise_percent = min(MAX_RAISE_PERCENT, 100 - pace)
+            cores = run.demand_cores * raise_percent / 100.0
+            if model.keeps_tails_below(
+                    expected_tails,
+                    run.image,
+                    cores,
+                    TARGET_RATIO):
+                pace += raise_percent
+                model.add_expected_utilisation(
+                    expected_tails, run.image, cores)
+        paces.append(pace if pace >= 0 else MIN_PACE_PERCENT)
+    return paces
--- a/sycamorefield/fleet/placing.py
+++ b/sycamorefield/fleet/placing.py
@@ -51,7 +51,7 @@
 
 
 def fits(worker: workerstate.WorkerState, step: messages.Step,
-         learnt: interference.Interference) -> bool:
+         learnt: interference.InterferenceModel) -> bool:
     """Tell whether a worker has the room, and gets its starts, now."""
     if not worker.takes_starts():
         return False
@@ -59,15 +59,16 @@
         return False
     if not worker.free().holds(step.reserved()):
         return False
-    if not step.fills or not learnt.limits:
+    if not step.fills or not learnt.limit_tails:
         return True
     cores = step.room.cpu / 1000.0
-    return learnt.stays_below(worker.tails, step.image, cores, TAIL_LIMIT)
+    return learnt.keeps_tails_below(worker.tails, step.image, cores,
+                                    TAIL_LIMIT)
 
 
 def choose(task: progress.TaskState, service: str,
            workers: typing.Iterable[workerstate.WorkerState],
-           learnt: interference.Interference
+           learnt: interference.InterferenceModel
            ) -> workerstate.WorkerState | None:
     """Return the best worker for a task, or None if none has room.
 
@@ -87,7 +88,7 @@
 
 
 def _rank(worker: workerstate.WorkerState, task: progress.TaskState,
-          service: str, learnt: interference.Interference) -> Rank | None:
+          service: str, learnt: interference.InterferenceModel) -> Rank | None:
     """Return how well a task goes on a worker, or None if it can't."""
     step = task.step
     if not allowed(worker, service, task) or not fits(worker, step, learnt):
@@ -108,7 +109,7 @@
 
     def __init__(self, task: progress.TaskState, service: str,
                  workers: typing.Iterable[workerstate.WorkerState],
-                 learnt: interference.Interference) -> None:
+                 learnt: interference.InterferenceModel) -> None:
         self.task = task
         self.service = service
         self.learnt = learnt
@@ -145,10 +146,10 @@
 
 
 def _room_rank(worker: workerstate.WorkerState, step: messages.Step,
-               learnt: interference.Interference) -> tuple[float, ...]:
+               learnt: interference.InterferenceModel) -> tuple[float, ...]:
     if step.fills:
-        harm = learnt.harm(worker.tails, step.image)
-        return (-round(harm / HARMLESS), leftover_cpu(worker))
+        total_weight = learnt.total_weight(worker.tails, step.image)
+        return (-round(total_weight / HARMLESS), leftover_cpu(worker))
     if step.target_ms:
         # Serving tasks of one image together: a filling image that harms
         # them then finds other workers where it harms nobody.
--- a/sycamorefield/fleet/progress.py
+++ b/sycamorefield/fleet/progress.py
@@ -61,9 +61,10 @@
         # What crashes of workers under it tell, if there were any.
         self.suspicion: suspicion.Suspicion | None = None
 
-    def needs_trial(self) -> bool:
+    def needs_quarantine_run(self) -> bool:
         """Tell whether its next run must show if it crashes its worker."""
-        return self.suspicion is not None and self.suspicion.needs_trial()
+        return (self.suspicion is not None
+                and self.suspicion.needs_quarantine_run())
 
     def advance(self, percent: int, now: float) -> None:
         """Note how far the current run has come."""
@@ -246,7 +247,7 @@
         for task in self.all_tasks():
             if task.done:
                 continue
-            if task.suspicion is not None and task.suspicion.is_proved():
+            if task.suspicion is not None and task.suspicion.is_confirmed():
                 workers = ", ".join(task.suspicion.workers)
                 return (f"task {_short_name(task.task)} crashed the workers "
                         f"that started it: {workers}")
--- /dev/null
+++ b/sycamorefield/fleet/quarantines.py
@@ -0,0 +1,209 @@
+"""Keep workers set aside for tasks that are suspected of crashing them."""
+
+import dataclasses
+import typing
+
+from sycamorefield import events
+from sycamorefield.fleet import messages
+from sycamorefield.fleet import placing
+from sycamorefield.fleet import progress
+from sycamorefield.fleet import suspicion
+from sycamorefield.fleet import workerstate
+
+# At most one in so many workers is set aside: others need room, too.
+WORKERS_PER_QUARANTINE = 2
+# A worker set aside is given back if its task could not start in this time.
+START_TIMEOUT_S = 3.0
+
+Workers = typing.Mapping[str, workerstate.WorkerState]
+
+
+@dataclasses.dataclass(eq=False, slots=True)
+class Quarantine:
+    """Hold one suspected task, or a gang with one, and its workers."""
+
+    job: progress.JobState
+    members: list[tuple[progress.TaskState, str]]
+    created_at: float
+    # The number of its runs once they are ordered.
+    run: int = 0
+    # Whether an earlier owner set the workers aside, who may have started it.
+    restored: bool = False
+
+    def worker_ids(self) -> set[str]:
+        """Return the ids of its workers."""
+        return {worker_id for _, worker_id in self.members}
+
+    def assignments(self) -> dict[messages.TaskId, str]:
+        """Return what must be stored before it starts."""
+        return {task.task: worker_id for task, worker_id in self.members}
+
+    def quarantine_s(self) -> float:
+        """Return for how many seconds its runs must go on to pass."""
+        return max((task.suspicion.quarantine_s() for task, _ in self.members
+                    if task.suspicion is not None),
+                   default=suspicion.STARTUP_WINDOW_S)
+
+
+class Quarantines:
+    """Know which workers are set aside, for which tasks."""
+
+    def __init__(self) -> None:
+        self.by_worker: dict[str, Quarantine] = {}
+        self.by_task: dict[messages.TaskId, Quarantine] = {}
+
+    def tasks_on(self, worker_id: str) -> list[progress.TaskState]:
+        """Return the tasks that a worker is set aside for."""
+        quarantine = self.by_worker.get(worker_id)
+        return [] if quarantine is None else [
+            task for task, member_worker_id in quarantine.members
+            if member_worker_id == worker_id]
+
+    def can_add(self, usable_workers: int) -> bool:
+        """Tell whether another worker of so many may be set aside."""
+        return len(
+            self.by_worker) < max(
+            1,
+            usable_workers //
+            WORKERS_PER_QUARANTINE)
+
+    def add(self, quarantine: Quarantine) -> None:
+        """Set workers aside."""
+        for task, worker_id in quarantine.members:
+            self.by_worker[worker_id] = quarantine
+            self.by_task[task.task] = quarantine
+            quarantine.job.on_trial[task.task] = worker_id
+
+    def restore(self, job: progress.JobState, now: float) -> None:
+        """Go on with the trials that an earlier owner has stored."""
+        members_by_key: dict[object, list[tuple[progress.TaskState, str]]] = {}
+        for task_id, worker_id in job.on_trial.items():
+            task = job.find(task_id)
+            if task is not None:
+                key = task_id.step_id() if task.step.gang else task_id
+                members_by_key.setdefault(key, []).append((task, worker_id))
+        for members in members_by_key.values():
+            self.add(Quarantine(job, members, now, restored=True))
+
+    def release(self, quarantine: Quarantine, reason: str) -> None:
+        """Give the workers of a trial back."""
+        for task, worker_id in quarantine.members:
+            if self.by_worker.get(worker_id) is quarantine:
+                del self.by_worker[worker_id]
+            self.by_task.pop(task.task, None)
+            quarantine.job.on_trial.pop(task.task, None)
+        quarantine.job.dirty = True
+        quarantine.job.quiet = False
+        events.emit(events.TRIAL_OVER, reason=reason, runs=[
+            (str(task.task), quarantine.run, worker_id)
+            for task, worker_id in quarantine.members])
+
+    def release_finished(self, workers: Workers, now: float) -> None:
+        """Give back the workers of trials that are over."""
+        for quarantine in set(self.by_task.values()):
+            reason = _release_reason(quarantine, workers, now)
+            if reason:
+                self.release(quarantine, reason)
+
+
+def is_ready(quarantine: Quarantine, workers: Workers, now: float) -> bool:
+    """Tell whether a crash from now on could only come from the trial.
+
+    What is stored of it tells a successor whom to suspect.
+    """
+    assignments = quarantine.assignments()
+    if any(quarantine.job.stored_trials.get(task_id) != worker_id
+           for task_id, worker_id in assignments.items()):
+        return False
+    members = {task for task, _ in quarantine.members}
+    return not any(
+        has_recent_start(workers[worker_id], now, members)
+        for worker_id in quarantine.worker_ids())
+
+
+def has_recent_start(worker: workerstate.WorkerState, now: float,
+                     excluding: typing.Container[progress.TaskState] = ()
+                     ) -> bool:
+    """Tell whether a run on a worker has just begun, or is about to."""
+    return any(
+        task.run == run and task not in excluding
+        and (not task.started
+             or now - task.started < suspicion.STARTUP_WINDOW_S)
+        for (_, run), task in worker.tasks.items())
+
+
+def fits(quarantine: Quarantine, workers: Workers, service: str,
+         tickets: dict[str, str] | None) -> bool:
+    """Tell whether rules and room still let a trial run on its workers."""
+    for worker_id in quarantine.worker_ids():
+        if tickets is not None and worker_id not in tickets:
+            return False
+        worker = workers[worker_id]
+        need = messages.Room()
+        for task, member_worker_id in quarantine.members:
+            if member_worker_id == worker_id:
+                need = need.plus(task.step.reserved())
+                if not placing.allowed(worker, service, task):
+                    return False
+        if not worker.free().holds(need):
+            return False
+    return True
+
+
+def _release_reason(
+        quarantine: Quarantine,
+        workers: Workers,
+        now: float) -> str:
+    """Return why a trial is over, or nothing."""
+    if quarantine.job.final():
+        return "job " + quarantine.job.state
+    if quarantine.restored and not quarantine.run:
+        return _restored_release_reason(quarantine, workers)
+    missing = quarantine.worker_ids() - workers.keys()
+    if missing:
+        return "worker is gone"
+    if quarantine.run:
+        return _started_release_reason(quarantine, workers)
+    if any(task.done or task.phase != progress.IDLE
+           for task, _ in quarantine.members):
+        return "task does not wait"
+    if any(not workers[worker_id].usable(now)
+           for worker_id in quarantine.worker_ids()):
+        return "worker takes no starts"
+    if now - quarantine.created_at > START_TIMEOUT_S:
+        return "could not start"
+    return ""
+
+
+def _restored_release_reason(quarantine: Quarantine, workers: Workers) -> str:
+    """Wait until its workers tell what runs there."""
+    for worker_id in quarantine.worker_ids():
+        worker = workers.get(worker_id)
+        if worker is None:
+            return "worker is gone"
+        if not worker.reported:
+            return ""
+    runs = {task.run for task, worker_id in quarantine.members
+            if task.worker_id == worker_id}
+    if not runs:
+        return "never started"
+    quarantine.run = max(runs)
+    return ""
+
+
+def _started_release_reason(quarantine: Quarantine, workers: Workers) -> str:
+    current = [task for task, worker_id in quarantine.members
+               if task.run == quarantine.run and task.worker_id == worker_id]
+    if len(current) < len(quarantine.members):
+        return "run is over"
+    # Without a later report the worker may have crashed unnoticed.
+    last_report_at = min(workers[worker_id].reported_at
+                         for worker_id in quarantine.worker_ids())
+    started_at = [task.started for task in current]
+    if not min(started_at) or last_report_at - \
+            max(started_at) < quarantine.quarantine_s():
+        return ""
+    for task in current:
+        # One that crashes its workers does so each time.
+        task.suspicion = None
+    return "passed"
--- a/sycamorefield/fleet/recovery.py
+++ b/sycamorefield/fleet/recovery.py
@@ -94,7 +94,7 @@
         if state.final():
             self.fleet.drop_final(state)
         else:
-            self.fleet.trials.inherit(state, clock.now())
+            self.fleet.trials.restore(state, clock.now())
 
     def _take_learnt(self, item: messages.Item) -> None:
         self.recorder.revisions[records.LEARNT_KEY] = item.revision
--- a/sycamorefield/fleet/reports.py
+++ b/sycamorefield/fleet/reports.py
@@ -5,8 +5,8 @@
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import pacer
 from sycamorefield.fleet import progress
-from sycamorefield.fleet import slowness
 from sycamorefield.fleet import state as state_mod
+from sycamorefield.fleet import stragglers
 from sycamorefield.fleet import workerstate
 
 # A task that keeps failing at once is not restarted faster than this.
@@ -54,8 +54,8 @@
             news |= _missing(fleet, worker, report, sent)
             worker.reported = True
             fleet.unheard.pop(worker_id, None)
-        fleet.pacer.take(worker, report, now)
-        worker.stalls = any(pacer.stalls(task)
+        fleet.pacer.process_report(worker, report, now)
+        worker.stalls = any(pacer.is_stalled(task)
                             for task in worker.tasks.values())
         worker.touch()
         if news or new_ends:
@@ -140,7 +140,7 @@
             task.advance(row.percent, now)
         if row.saved:
             task.saved = row.saved
-        if not task.stuck and slowness.stuck(task, now):
+        if not task.stuck and stragglers.is_stuck(task, now):
             task.stuck = True
             _slow(fleet, worker, task, now)
         if task.phase == progress.STARTING:
@@ -161,7 +161,7 @@
     """Avoid a worker on which several tasks make no progress."""
     task.avoid.add(worker.entry.worker_id)
     stuck = sum(1 for other in worker.tasks.values() if other.stuck)
-    if stuck >= slowness.STUCK_TASKS and worker.avoid_until <= now:
+    if stuck >= stragglers.MIN_STUCK_TASKS and worker.avoid_until <= now:
         worker.avoid_until = now + workerstate.AVOID_S
         events.emit(events.WORKER_AVOIDED, stuck=stuck,
                     worker=worker.entry.worker_id)
--- a/sycamorefield/fleet/rounds.py
+++ b/sycamorefield/fleet/rounds.py
@@ -12,9 +12,9 @@
 from sycamorefield.fleet import pacer
 from sycamorefield.fleet import placing
 from sycamorefield.fleet import progress
+from sycamorefield.fleet import quarantines
 from sycamorefield.fleet import shortage
 from sycamorefield.fleet import state as state_mod
-from sycamorefield.fleet import trials
 from sycamorefield.fleet import workerstate
 
 # A filling run slowed to pacer.STALLED_PACE for this long moves to a worker
@@ -91,7 +91,8 @@
             return bool(waiting)
         step = state.job.steps[number]
         site = self._site(state, idle[0])
-        suspected = [t for t in idle if t.suspicion and t.needs_trial()]
+        suspected = [
+            t for t in idle if t.suspicion and t.needs_quarantine_run()]
         if suspected:
             self._place_suspected(state, tasks, idle, suspected, site)
         elif step.gang:
@@ -112,7 +113,7 @@
         roomiest = sorted((w for w in self.usable
                            if w.entry.service == site.service),
                           key=lambda w: -w.free().cpu)
-        self.fleet.advice.want(
+        self.fleet.advice.request_advice(
             left[0].task.step_id(),
             (w.entry.worker_id for w in roomiest), queue.advice, self.now)
 
@@ -123,7 +124,8 @@
         service = queue.service if queue else state.job.service
         if queue is None or queue.advice is None:
             return Site(service, self.usable)
-        tickets = self.fleet.advice.valid(task.task.step_id(), self.now)
+        tickets = self.fleet.advice.valid_tickets(
+            task.task.step_id(), self.now)
         return Site(service, [w for w in self.usable
                               if w.entry.worker_id in tickets], tickets)
 
@@ -338,16 +340,16 @@
             self._set_aside(state, tasks, site)
             return
         workers = self.fleet.workers
-        if trial.run or trial.inherited:
+        if trial.run or trial.restored:
             return
-        if not trials.is_ready(trial, workers, self.now):
+        if not quarantines.is_ready(trial, workers, self.now):
             return
-        if not trials.fits(trial, workers, site.service, site.tickets):
-            self.fleet.trials.remove(trial, "no room or not allowed")
+        if not quarantines.fits(trial, workers, site.service, site.tickets):
+            self.fleet.trials.release(trial, "no room or not allowed")
             return
         self._start_trial(trial, site)
 
-    def _start_trial(self, trial: trials.Trial, site: Site) -> None:
+    def _start_trial(self, trial: quarantines.Quarantine, site: Site) -> None:
         state = trial.job
         trial.run = max(state.next_run(task) for task, _ in trial.members)
         saved = max(task.saved for task, _ in trial.members)
@@ -363,7 +365,7 @@
     def _set_aside(self, state: progress.JobState,
                    tasks: list[progress.TaskState], site: Site) -> None:
         """Keep workers free of other starts until the tasks run there."""
-        if not self.fleet.trials.may_add(self.workers_in_all):
+        if not self.fleet.trials.can_add(self.workers_in_all):
             return
         chosen = self._choose_apart(tasks, site)
         if not chosen and not tasks[0].step.gang:
@@ -372,7 +374,7 @@
             return
         members = [(task, worker.entry.worker_id)
                    for task, worker in zip(tasks, chosen)]
-        self.fleet.trials.add(trials.Trial(state, members, self.now))
+        self.fleet.trials.add(quarantines.Quarantine(state, members, self.now))
         state.dirty = self.fleet.commit_now = True
         for worker in chosen:
             self.coming.drop(worker)
@@ -382,7 +384,7 @@
                       ) -> list[workerstate.WorkerState]:
         """Return workers to set aside, if possible without young runs."""
         quiet = [worker for worker in site.workers
-                 if not trials.has_young_run(worker, self.now)]
+                 if not quarantines.has_recent_start(worker, self.now)]
         for workers in (quiet, site.workers):
             if tasks[0].step.gang:
                 chosen = gangs.choose(tasks, site.service, workers)
@@ -431,7 +433,7 @@
     def _stalled(self, task: progress.TaskState) -> bool:
         if task.phase != progress.RUNNING or task.step.gang:
             return False
-        return pacer.stalls(task) and (
+        return pacer.is_stalled(task) and (
             task.stuck or self.now - task.slowed_at >= STALLED_S)
 
     def _make_room(self, state: progress.JobState,
@@ -474,7 +476,7 @@
     with fleet.lock:
         fleet.changed = False
         fleet.demand.begin(now)
-        fleet.trials.review(fleet.workers, now)
+        fleet.trials.release_finished(fleet.workers, now)
         configuration = fleet.configuration()
         queues = configuration.by_name()
         if configuration.version != fleet.placed_with:
--- a/sycamorefield/fleet/state.py
+++ b/sycamorefield/fleet/state.py
@@ -18,9 +18,9 @@
 from sycamorefield.fleet import pacer
 from sycamorefield.fleet import policy as policy_mod
 from sycamorefield.fleet import progress
+from sycamorefield.fleet import quarantines
 from sycamorefield.fleet import runlog
 from sycamorefield.fleet import shortage
-from sycamorefield.fleet import trials
 from sycamorefield.fleet import workerstate
 
 Order = messages.StartOrder | messages.StopOrder | messages.PaceOrder
@@ -79,19 +79,19 @@
         # read often enough to show each drain.
         self.listed_at = math.inf
         self.saw_drains_since = -math.inf
-        self.trials = trials.Trials()
+        self.trials = quarantines.Quarantines()
         # Whether the store has not answered for longer than the owner's
         # lease: a successor may exist.
         self.without_store = False
         # Until when the owner's lease certainly holds, on clock.now().
         self.leased_until = math.inf
-        self.learnt = interference.Interference(
+        self.learnt = interference.InterferenceModel(
             policy.learn_weights, policy.limit_tails, policy.follow_slopes)
         self.demand = demand.Demand()
         self.pacer = pacer.Pacer(self.learnt, send, policy.pace_filling)
         self.run_log = runlog.RunLog()
-        self.advice = advice.AdviceBook(None)
-        self.advice.answered = self._answered
+        self.advice = advice.AdviceCache(None)
+        self.advice.on_answer = self._answered
         # What found no room, and what found no runs to stop for room.
         self.no_room = shortage.Misses()
         self.no_victims = shortage.Misses()
@@ -151,7 +151,7 @@
         events.emit(events.JOB_ENDED, job=state.job.job_id,
                     state=state.state, reason=state.reason)
         self.active.pop(state.job.job_id, None)
-        self.advice.forget(state.job.job_id)
+        self.advice.forget_job(state.job.job_id)
         self.commit_now = True
         for task in state.all_tasks():
             if task.phase in (progress.STARTING, progress.RUNNING):
@@ -429,7 +429,8 @@
             task.task, run, state.job.spec, task.saved, ticket))
         if task.step.fills:
             cores = task.step.room.cpu / 1000.0
-            self.learnt.expect(worker.tails, task.step.image, cores)
+            self.learnt.add_expected_utilisation(
+                worker.tails, task.step.image, cores)
 
     def _answered(self) -> None:
         with self.lock:
--- a/sycamorefield/fleet/suspicion.py
+++ b/sycamorefield/fleet/suspicion.py
@@ -12,17 +12,17 @@
 import typing
 
 # A task that crashes its workers as it starts does so within this.
-AT_START_S = 0.25
+STARTUP_WINDOW_S = 0.25
 # A run that was at work for this long is not the cause of a crash.
-HARMLESS_AFTER_S = 3.0
+MAX_SUSPECT_AGE_S = 3.0
 # After so many crashes in trials a task is given up.
-CRASHES_IN_TRIALS = 2
+MAX_QUARANTINE_CRASHES = 2
 # A task that crashes its workers does so after similar times: they differ by
 # no more than either of these.
-SIMILAR_S = 0.4
-SIMILAR_SHARE = 0.15
+SIMILAR_AGE_S = 0.4
+SIMILAR_AGE_RATIO = 0.15
 # A trial lasts this many times as long as the task ran before a crash.
-TRIAL_FACTOR = 1.5
+QUARANTINE_TIME_FACTOR = 1.5
 
 
 @dataclasses.dataclass(slots=True)
@@ -36,32 +36,35 @@
     # Whether the last crash came as this run and hardly any other started.
     likely: bool = False
 
-    def add(self, worker_id: str, age_s: float, likely: bool,
-            in_trial: bool) -> None:
+    def add_crash(self, worker_id: str, age_s: float, likely: bool,
+                  in_quarantine: bool) -> None:
         """Note a crash that came when a run was so old.
 
         One in a trial after quite another time has another cause.
         """
-        if in_trial and any(_similar(age_s, other) for other in self.ages_s):
+        if in_quarantine and any(
+            _is_similar_age(
+                age_s,
+                earlier_age_s) for earlier_age_s in self.ages_s):
             self.in_trials += 1
         self.workers.append(worker_id)
         self.ages_s.append(age_s)
         self.likely = likely
 
-    def needs_trial(self) -> bool:
+    def needs_quarantine_run(self) -> bool:
         """Tell whether the next run must be a trial."""
         return (self.likely or self.in_trials > 0
-                or any(_similar(*pair) for pair
+                or any(_is_similar_age(*pair) for pair
                        in itertools.combinations(self.ages_s, 2)))
 
-    def is_proved(self) -> bool:
+    def is_confirmed(self) -> bool:
         """Tell whether the task is the cause of crashes."""
-        return self.in_trials >= CRASHES_IN_TRIALS
+        return self.in_trials >= MAX_QUARANTINE_CRASHES
 
-    def trial_s(self) -> float:
+    def quarantine_s(self) -> float:
         """Return for how many seconds a run must go on to pass its trial."""
-        return min(HARMLESS_AFTER_S, max(
-            AT_START_S, TRIAL_FACTOR * max(self.ages_s, default=0.0)))
+        return min(MAX_SUSPECT_AGE_S, max(STARTUP_WINDOW_S,
+                   QUARANTINE_TIME_FACTOR * max(self.ages_s, default=0.0)))
 
     def encode(self) -> dict[str, typing.Any]:
         """Return it as it is stored."""
@@ -73,6 +76,6 @@
     return Suspicion(**row)
 
 
-def _similar(one_s: float, other_s: float) -> bool:
-    return (abs(one_s - other_s)
-            <= max(SIMILAR_S, SIMILAR_SHARE * max(one_s, other_s)))
+def _is_similar_age(first_s: float, second_s: float) -> bool:
+    return (abs(first_s - second_s)
+            <= max(SIMILAR_AGE_S, SIMILAR_AGE_RATIO * max(first_s, second_s)))
--- a/sycamorefield/fleet/workerstate.py
+++ b/sycamorefield/fleet/workerstate.py
@@ -71,7 +71,7 @@
         self.filling_cpu = 0
         # Processors that lasting tasks reserve.
         self.lasting_cpu = 0
-        self.tails: list[interference.Tail] = []
+        self.tails: list[interference.TailLatency] = []
         # Reserved processors that serving tasks leave unused, thousandths.
         self.unused_cpu = 0.0
         self.over_reports = 0
--- a/tests/test_fleet_advice.py
+++ b/tests/test_fleet_advice.py
@@ -16,11 +16,11 @@
 STEP = messages.Step(2, messages.Room(1000, 10))
 
 
-class Service(surroundings.AdviceService):
+class StubAdviceService(surroundings.AdviceService):
     """Allow some workers; refuse a number of calls first."""
 
-    def __init__(self, good, refusals=0):
-        self.good = good
+    def __init__(self, advised_workers, refusals=0):
+        self.advised_workers = advised_workers
         self.refusals = refusals
         self.asked = []
         self.valid_ms = None
@@ -31,7 +31,7 @@
             raise surroundings.CallRefused("busy")
         self.asked.append((step, workers))
         return messages.Advice({w: f"{step}/{w}" for w in workers
-                                if w in self.good}, self.valid_ms)
+                                if w in self.advised_workers}, self.valid_ms)
 
 
 def configuration():
@@ -47,55 +47,55 @@
     return bench
 
 
-def answer(bench):
+def fetch_all(bench):
     """Let the book ask all that is wanted."""
-    book = bench.state.advice
-    for question in list(book.wanted.values()):
-        book.ask(question)
+    cache = bench.state.advice
+    for request in list(cache.pending.values()):
+        cache.fetch(request)
 
 
-def test_steps_start_only_where_advised_and_carry_the_ticket(bench):
-    bench.state.advice.service = service = Service({"i-1"})
+def test_steps_start_only_on_advised_workers_with_their_ticket(bench):
+    bench.state.advice.service = service = StubAdviceService({"i-1"})
     bench.add(fleetfakes.job("j", STEP))
     assert not bench.place()
-    answer(bench)
+    fetch_all(bench)
     assert bench.place() == ["j.0.0.0@i-1", "j.0.0.1@i-1"]
     assert {order.ticket for _, order in bench.orders} == {"j.0.0/i-1"}
     assert [step for step, _ in service.asked] == ["j.0.0"]
 
 
-def test_nothing_is_asked_while_good_workers_have_room(bench):
+def test_no_request_while_advised_workers_have_capacity(bench):
     """Spare the service, which answers one call at a time."""
-    bench.state.advice.service = service = Service({"i-1"})
+    bench.state.advice.service = service = StubAdviceService({"i-1"})
     bench.add(fleetfakes.job("j", STEP))
     for _ in range(4):
         bench.place()
-        answer(bench)
+        fetch_all(bench)
     assert len(service.asked) == 1
 
 
-def test_a_refused_call_is_asked_again(bench):
-    bench.state.advice.service = Service({"i-2"}, refusals=1)
+def test_refused_call_is_retried(bench):
+    bench.state.advice.service = StubAdviceService({"i-2"}, refusals=1)
     bench.add(fleetfakes.job("j", STEP))
     bench.place()
-    answer(bench)
+    fetch_all(bench)
     assert not bench.place()
-    answer(bench)
+    fetch_all(bench)
     assert len(bench.place()) == 2
 
 
-@pytest.mark.parametrize("how", ["rejected", "expired"])
-def test_a_ticket_that_holds_no_longer_is_asked_for_again(bench, how):
+@pytest.mark.parametrize("reason", ["rejected", "expired"])
+def test_unusable_ticket_is_requested_again(bench, reason):
     """Ask anew after a ticket was not taken or has ended.
 
     Symptom would be a job that never starts.  Events: the ticket's time was
     over when the start arrived.  Cause would be to keep the ticket.
     """
-    bench.state.advice.service = service = Service({"i-1"})
+    bench.state.advice.service = service = StubAdviceService({"i-1"})
     bench.add(fleetfakes.job("j", messages.Step(1, STEP.room)))
     bench.place()
-    answer(bench)
-    if how == "rejected":
+    fetch_all(bench)
+    if reason == "rejected":
         bench.now += 0.1
         rounds.place(bench.state, bench.now, 1e12)
         answers.rejected(bench.state, "i-1", bench.orders[-1][1],
@@ -103,36 +103,36 @@
     else:
         bench.now += 10.0
     assert not bench.place()
-    answer(bench)
+    fetch_all(bench)
     assert len(service.asked) == 2
 
 
 @pytest.mark.parametrize(("valid_ms", "placed"), [
     (400.0, 0), (60_000.0, 1)], ids=["about-to-end", "valid"])
-def test_the_services_word_on_validity_goes_before_the_policys(
+def test_service_validity_overrides_policy(
         bench, valid_ms, placed):
-    bench.state.advice.service = service = Service({"i-1"})
+    bench.state.advice.service = service = StubAdviceService({"i-1"})
     service.valid_ms = valid_ms
     bench.add(fleetfakes.job("j", messages.Step(1, STEP.room)))
     bench.place()
-    answer(bench)
+    fetch_all(bench)
     assert len(bench.place()) == placed
 
 
-def test_what_ended_is_forgotten(bench):
-    bench.state.advice.service = Service({"i-1"})
+def test_advice_for_ended_jobs_is_discarded(bench):
+    bench.state.advice.service = StubAdviceService({"i-1"})
     bench.add(fleetfakes.job("j", STEP))
     bench.place()
-    answer(bench)
+    fetch_all(bench)
     bench.state.cancel("j")
-    book = bench.state.advice
-    assert not (book.tickets or book.unfit or book.wanted)
+    cache = bench.state.advice
+    assert not (cache.tickets or cache.rejected_workers or cache.pending)
 
 
 @pytest.mark.parametrize(("status", "error"), [
     (200, None), (429, surroundings.CallRefused),
     (500, surroundings.CallFailed)])
-def test_the_platforms_answers_are_decoded(status, error):
+def test_platform_responses_are_decoded(status, error):
     server = platformfakes.Server(lambda method, path, query, body: (
         status, {"good": [[body["workers"][0], "t"]], "valid_ms": 3000}))
     service = platform_advice.PlatformAdvice(server.address)
--- a/tests/test_fleet_crash_days.py
+++ b/tests/test_fleet_crash_days.py
@@ -11,74 +11,74 @@
 
 WORKERS = 12
 STEPS = 220
-SMALL = (
+JOB_SHAPES = (
     (messages.Step(4, messages.Room(500, 10)),),
     (messages.Step(6, messages.Room(300, 10), perpetual=True),),
     (messages.Step(3, messages.Room(400, 10), gang=True),),
     (messages.Step(3, messages.Room(400, 10)),
      messages.Step(2, messages.Room(800, 10), after=(0,))),
 )
-CRASHING = 4
+CRASHING_JOBS = 4
 
 
-class CrashDay:
+class CrashSimulation:
     """A day on which tasks crash workers, and workers and racks crash too."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.machine = test_fleet_machine.FleetMachine()
-        for place in range(test_fleet_machine.WORKERS, WORKERS):
-            self.machine._new_worker(place)
+        for worker_number in range(test_fleet_machine.WORKERS, WORKERS):
+            self.machine._new_worker(worker_number)
         self.changes = 0
 
-    def play(self) -> None:
+    def run(self) -> None:
         """Play all steps, with the checks of the machine after each."""
         for step in range(STEPS):
-            self.hand_in(step)
-            self.crash_some()
+            self.submit_jobs(step)
+            self.crash_workers()
             if step % 60 == 30:
                 self.machine._take_over(step % 2, "answered")
             self.machine.calm()
             if self.rng.random() < 0.9:
                 self.machine.crashes_are_noticed()
             self.machine.pass_time(self.rng.choice((0.05, 0.1, 0.2)))
-            self.end_some()
+            self.finish_some_runs()
             self.machine.only_tasks_that_crash_workers_are_given_up()
             self.machine.room_is_accounted_for()
 
-    def hand_in(self, step: int) -> None:
+    def submit_jobs(self, step: int) -> None:
         """Hand in jobs, now and then one that crashes its workers."""
         number = len(self.machine.jobs)
-        if step % 3 == 0 and self.running() < 60:
+        if step % 3 == 0 and self.run_count() < 60:
             self.machine._submit(fleetfakes.job(
-                f"j{number}", *self.rng.choice(SMALL)))
-        if step % 10 == 5 and step < 10 * CRASHING:
+                f"j{number}", *self.rng.choice(JOB_SHAPES)))
+        if step % 10 == 5 and step < 10 * CRASHING_JOBS:
             self.machine._submit(fleetfakes.job(
-                f"j{number + 1}", self.rng.choice(SMALL)[0],
+                f"j{number + 1}", self.rng.choice(JOB_SHAPES)[0],
                 spec=test_fleet_machine.CRASHES))
 
-    def running(self) -> int:
+    def run_count(self) -> int:
         """Return how many runs there are."""
         return sum(len(w.runs) for w in self.machine._alive())
 
-    def crash_some(self) -> None:
+    def crash_workers(self) -> None:
         """Let a worker crash by itself, or a whole rack."""
-        draw = self.rng.random()
+        sample = self.rng.random()
         workers = self.machine._alive()
         victims = []
-        if draw < 0.06:
+        if sample < 0.06:
             victims = [self.rng.choice(workers)]
-        elif draw < 0.08:
+        elif sample < 0.08:
             rack = self.rng.choice(workers).entry.rack()
             victims = [w for w in workers if w.entry.rack() == rack]
         for worker in victims:
             self.machine._end_worker(worker)
             self.machine.fleet.worker_silent(worker.entry.worker_id, "closed")
         for worker in victims:
-            crashes.worker_refuses(self.machine.fleet,
-                                   worker.entry.worker_id)
+            crashes.worker_refused_connection(self.machine.fleet,
+                                              worker.entry.worker_id)
 
-    def end_some(self) -> None:
+    def finish_some_runs(self) -> None:
         """Let some runs end as done."""
         for worker in self.machine._alive():
             for key in list(worker.runs):
@@ -91,14 +91,14 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_days_of_crashes_fail_only_jobs_that_crash_their_workers(seed):
+def test_simulated_crashes_fail_only_the_jobs_that_cause_them(seed):
     """Guards against innocent jobs given up, and others started on and on."""
-    day = CrashDay(seed)
+    simulation = CrashSimulation(seed)
     try:
-        day.play()
-        states = [state for state in day.machine.fleet.jobs.values()
+        simulation.run()
+        states = [state for state in simulation.machine.fleet.jobs.values()
                   if state.job.spec == test_fleet_machine.CRASHES]
         assert states and all(state.state == messages.JOB_FAILED
                               for state in states)
     finally:
-        day.machine.teardown()
+        simulation.machine.teardown()
--- a/tests/test_fleet_crashes.py
+++ b/tests/test_fleet_crashes.py
@@ -22,12 +22,12 @@
 
 WORKERS = 6
 # How long a crashed worker's process takes to come back under a new id.
-REBORN_S = 0.6
+RESTART_DELAY_S = 0.6
 SMALL = messages.Room(300, 100)
 # A task that crashes its workers is started at most twice more after the
 # third of them.
-MOST_STARTS = 5
-GIVEN_UP_S = 25.0
+MAX_STARTS = 5
+WAIT_TIMEOUT_S = 25.0
 
 
 class CrashingFleet(test_fleet_takeover.Fleet):
@@ -38,7 +38,7 @@
         # Jobs whose tasks crash each worker, and after how many seconds.
         self.crashing: dict[str, float] = {}
         self.lock = threading.Lock()
-        self.reborn = True
+        self.restarts_workers = True
         for number in range(WORKERS):
             self.join(number, 0)
 
@@ -54,14 +54,14 @@
         while not owner.over.wait(0.3):
             owner.lease_renewed(clock.now())
 
-    def join(self, number: int, life: int) -> None:
+    def join(self, number: int, generation: int) -> None:
         """Let a worker start and list itself."""
         address = fleetfakes.entry(number).address
-        entry = fleetfakes.entry(100 * life + number, address=address,
+        entry = fleetfakes.entry(100 * generation + number, address=address,
                                  labels=("a", f"r{number % 2}"))
         worker = fleetfakes.MemoryWorker(entry.worker_id)
         worker.crashing = self.crashing
-        worker.on_crash = lambda: self.crashed(number, life)
+        worker.on_crash = lambda: self.crashed(number, generation)
         with self.lock:
             for other in self.workers.values():
                 other.dead |= other.crashed and (
@@ -69,12 +69,13 @@
             self.workers[entry.worker_id] = worker
             self.roster.entries += (entry,)
 
-    def crashed(self, number: int, life: int) -> None:
+    def crashed(self, number: int, generation: int) -> None:
         """Let a worker that crashed come back after a while."""
-        if self.reborn:
-            threading.Timer(REBORN_S, self.join, (number, life + 1)).start()
+        if self.restarts_workers:
+            threading.Timer(RESTART_DELAY_S, self.join,
+                            (number, generation + 1)).start()
 
-    def starts_of(self, job_id: str) -> int:
+    def count_starts(self, job_id: str) -> int:
         """Return how often tasks of a job were started."""
         return sum(name.startswith(job_id + ".") for name in self.starts())
 
@@ -83,21 +84,23 @@
 def fixture_fleet() -> typing.Iterator[CrashingFleet]:
     fleet = CrashingFleet()
     yield fleet
-    fleet.reborn = False
+    fleet.restarts_workers = False
     if fleet.owner is not None:
         fleet.owner.step_down("test over")
 
 
-def wait_for(what: typing.Callable[[], bool], limit_s: float = GIVEN_UP_S
-             ) -> None:
+def wait_for(
+        condition: typing.Callable[[],
+                                   bool],
+        limit_s: float = WAIT_TIMEOUT_S) -> None:
     """Wait until something holds."""
     end = time.monotonic() + limit_s
-    while not what():
+    while not condition():
         assert time.monotonic() < end, "did not come to hold"
         time.sleep(0.01)
 
 
-def ready(owner: owner_mod.Owner) -> bool:
+def is_ready(owner: owner_mod.Owner) -> bool:
     """Tell whether an owner can use all workers."""
     return owner.recovered and sum(
         w.enrolled and w.reported
@@ -111,96 +114,98 @@
     messages.Step(1, SMALL, perpetual=True),
     messages.Step(2, SMALL, gang=True),
 ], ids=["short", "lasting", "gang"])
-def test_a_task_that_crashes_its_workers_is_given_up(fleet, step, after_s):
+def test_task_crashing_its_workers_fails_its_job(fleet, step, after_s):
     """Guards against a task that takes worker after worker without end."""
-    wait_for(lambda owner=fleet.take_over(): ready(owner))
+    wait_for(lambda owner=fleet.take_over(): is_ready(owner))
     beside = messages.Step(WORKERS, SMALL, perpetual=True)
     fleet.submit(fleetfakes.job("lasting", beside))
     wait_for(lambda: len(fleet.running()) == WORKERS)
     fleet.crashing["bad"] = after_s
     fleet.submit(fleetfakes.job("bad", step))
     wait_for(lambda: fleet.state("bad") == messages.JOB_FAILED)
-    assert fleet.starts_of("bad") <= MOST_STARTS * step.count
+    assert fleet.count_starts("bad") <= MAX_STARTS * step.count
     wait_for(lambda: len(fleet.running()) == WORKERS)
     assert fleet.state("lasting") not in messages.FINAL_STATES
     assert records.progress_key("bad") in fleet.store.items
 
 
-SHORT = messages.Step(1, SMALL)
-LASTING = messages.Step(1, SMALL, perpetual=True)
+FINITE = messages.Step(1, SMALL)
+LONG_RUNNING = messages.Step(1, SMALL, perpetual=True)
 GANG = messages.Step(2, SMALL, gang=True)
 
 
-@pytest.mark.parametrize("step", [SHORT, LASTING, GANG],
+@pytest.mark.parametrize("step", [FINITE, LONG_RUNNING, GANG],
                          ids=["short", "lasting", "gang"])
-def test_tasks_beside_one_that_crashes_its_workers_are_not_given_up(
+def test_tasks_next_to_a_crashing_task_do_not_fail(
         fleet, step):
     """Guards against counting a crash against all that ran there."""
-    wait_for(lambda owner=fleet.take_over(): ready(owner))
+    wait_for(lambda owner=fleet.take_over(): is_ready(owner))
     jobs = [f"beside{n}" for n in range(8)]
     fleet.crashing.update(bad0=0.01, bad1=0.3)
     for job_id in (*jobs[:4], "bad0", *jobs[4:6], "bad1", *jobs[6:]):
         fleet.submit(fleetfakes.job(
-            job_id, SHORT if job_id.startswith("bad") else step))
+            job_id, FINITE if job_id.startswith("bad") else step))
     wait_for(lambda: all(fleet.state(job_id) == messages.JOB_FAILED
                          for job_id in ("bad0", "bad1")))
     wait_for(lambda: len(fleet.running()) == len(jobs) * step.count)
     assert not any(fleet.state(job_id) in messages.FINAL_STATES
                    for job_id in jobs)
-    assert fleet.starts_of("bad0") + fleet.starts_of("bad1") <= (
-        2 * MOST_STARTS)
+    assert fleet.count_starts("bad0") + fleet.count_starts("bad1") <= (
+        2 * MAX_STARTS)
 
 
 @pytest.mark.parametrize("crash", [1, 2, 3])
-@pytest.mark.parametrize("change", ["running", "crashed", "counted"])
-def test_what_crashes_tell_survives_a_change_of_owner(fleet, change, crash):
+@pytest.mark.parametrize("changed_at", ["running", "crashed", "counted"])
+def test_crash_records_survive_a_change_of_owner(
+        fleet, changed_at, crash):
     """Guards against an owner that starts anew with counting crashes."""
-    wait_for(lambda owner=fleet.take_over(): ready(owner))
+    wait_for(lambda owner=fleet.take_over(): is_ready(owner))
     fleet.crashing["bad"] = 0.05
-    fleet.submit(fleetfakes.job("bad", SHORT))
-    wait_for(lambda: fleet.starts_of("bad") >= crash)
-    if change == "crashed":
-        wait_for(lambda: _crashed(fleet) >= crash)
-    elif change == "counted":
-        wait_for(lambda: _counted(fleet, "bad") >= crash)
+    fleet.submit(fleetfakes.job("bad", FINITE))
+    wait_for(lambda: fleet.count_starts("bad") >= crash)
+    if changed_at == "crashed":
+        wait_for(lambda: _count_crashed(fleet) >= crash)
+    elif changed_at == "counted":
+        wait_for(lambda: _count_stored_crashes(fleet, "bad") >= crash)
     fleet.owner.step_down("killed")
     fleet.take_over()
     wait_for(lambda: fleet.state("bad") == messages.JOB_FAILED)
-    assert fleet.starts_of("bad") <= (
-        MOST_STARTS - 1 if crash == 1 and change != "counted" else 3)
+    assert fleet.count_starts("bad") <= (
+        MAX_STARTS - 1 if crash == 1 and changed_at != "counted" else 3)
 
 
-def test_crashes_count_though_the_owner_changes_after_each(fleet):
+def test_crash_count_survives_repeated_owner_changes(fleet):
     """Guards against counts that reach only the next owner."""
-    wait_for(lambda owner=fleet.take_over(): ready(owner))
+    wait_for(lambda owner=fleet.take_over(): is_ready(owner))
     fleet.crashing["bad"] = 0.05
-    fleet.submit(fleetfakes.job("bad", SHORT))
+    fleet.submit(fleetfakes.job("bad", FINITE))
     for crash in (1, 2):
-        wait_for(lambda count=crash: _counted(fleet, "bad") >= count)
+        wait_for(lambda count=crash: _count_stored_crashes(
+            fleet, "bad") >= count)
         fleet.owner.step_down("killed")
         fleet.take_over()
     wait_for(lambda: fleet.state("bad") == messages.JOB_FAILED)
-    assert fleet.starts_of("bad") == 3
+    assert fleet.count_starts("bad") == 3
 
 
-def _crashed(fleet: CrashingFleet) -> int:
+def _count_crashed(fleet: CrashingFleet) -> int:
     return sum(w.crashed for w in list(fleet.workers.values()))
 
 
-def _counted(fleet: CrashingFleet, job_id: str) -> int:
+def _count_stored_crashes(fleet: CrashingFleet, job_id: str) -> int:
     """Return how many crashes are stored as ones under a job's task."""
     item = fleet.store.items.get(records.progress_key(job_id))
     if item is None:
         return 0
     if progress.state_of(item.value) == messages.JOB_FAILED:
-        return MOST_STARTS
-    state = progress.JobState(fleetfakes.job(job_id, SHORT), 0)
+        return MAX_STARTS
+    state = progress.JobState(fleetfakes.job(job_id, FINITE), 0)
     progress.apply_progress(state, item.value)
     return sum(len(task.suspicion.workers) for task in state.all_tasks()
                if task.suspicion is not None)
 
 
-class End(typing.NamedTuple):
+class WorkerEnd(typing.NamedTuple):
     """How a worker with a young run ends, and what is held against it."""
 
     verdict: crashes.Verdict
@@ -208,65 +213,66 @@
     listed: bool = True
     list_age_s: float = 0.0
     silent_s: float = 0.3
-    reborn: bool = False
-    others_of_rack: str = "answer"
+    restarted: bool = False
+    rack_peers: str = "answer"
 
 
 @pytest.mark.parametrize("end", [
-    End(crashes.Verdict.CRASH),
-    End(crashes.Verdict.DRAINED, draining=True),
-    End(crashes.Verdict.UNLISTED, listed=False),
-    End(crashes.Verdict.OLD_LIST, list_age_s=3.0),
-    End(crashes.Verdict.OLD_LIST, list_age_s=3.0, reborn=True),
-    End(crashes.Verdict.DARK, silent_s=4.0),
-    End(crashes.Verdict.CRASH, silent_s=4.0, reborn=True),
-    End(crashes.Verdict.NOBODY, others_of_rack="silent"),
-    End(crashes.Verdict.NOBODY, others_of_rack="ended"),
-    End(crashes.Verdict.CRASH, others_of_rack="ended before"),
-], ids=lambda end: f"{end.verdict.name}-{end.others_of_rack}")
-def test_only_a_crash_is_held_against_what_ran_there(end, monkeypatch):
+    WorkerEnd(crashes.Verdict.CRASH),
+    WorkerEnd(crashes.Verdict.DRAINED, draining=True),
+    WorkerEnd(crashes.Verdict.UNLISTED, listed=False),
+    WorkerEnd(crashes.Verdict.STALE_LIST, list_age_s=3.0),
+    WorkerEnd(crashes.Verdict.STALE_LIST, list_age_s=3.0, restarted=True),
+    WorkerEnd(crashes.Verdict.UNRESPONSIVE, silent_s=4.0),
+    WorkerEnd(crashes.Verdict.CRASH, silent_s=4.0, restarted=True),
+    WorkerEnd(crashes.Verdict.NO_SUSPECT, rack_peers="silent"),
+    WorkerEnd(crashes.Verdict.NO_SUSPECT, rack_peers="ended"),
+    WorkerEnd(crashes.Verdict.CRASH, rack_peers="ended before"),
+], ids=lambda end: f"{end.verdict.name}-{end.rack_peers}")
+def test_only_crashes_make_tasks_suspect(end, monkeypatch):
     """Guards against taking a drain, a cut or a failed rack for a crash."""
-    moment = [100.0]
-    monkeypatch.setattr(clock, "now", lambda: moment[0])
+    fake_now = [100.0]
+    monkeypatch.setattr(clock, "now", lambda: fake_now[0])
     bench = test_fleet_state.Bench(*(
         fleetfakes.entry(n, labels=("a", "r"), draining=False)
         for n in range(4)))
     state = bench.state
     bench.add(fleetfakes.job("j"))
-    mates = [w for w in state.workers if w != "i-0"]
-    if end.others_of_rack == "ended before":
-        for worker_id in mates:
-            crashes.worker_refuses(state, worker_id)
-        moment[0] += 1.0
-        bench.now = moment[0]
+    rack_peers = [w for w in state.workers if w != "i-0"]
+    if end.rack_peers == "ended before":
+        for worker_id in rack_peers:
+            crashes.worker_refused_connection(state, worker_id)
+        fake_now[0] += 1.0
+        bench.now = fake_now[0]
     [placed] = bench.place()
     worker_id = placed.partition("@")[2]
-    moment[0] = bench.now + 0.1
-    if end.others_of_rack in ("silent", "ended"):
+    fake_now[0] = bench.now + 0.1
+    if end.rack_peers in ("silent", "ended"):
         for other in set(state.workers) - {worker_id}:
             state.worker_silent(other, "closed")
-            if end.others_of_rack == "ended":
-                crashes.worker_refuses(state, other)
+            if end.rack_peers == "ended":
+                crashes.worker_refused_connection(state, other)
     state.add_worker(fleetfakes.entry(
         int(worker_id[2:]), labels=("a", "r"), draining=end.draining))
     state.worker_silent(worker_id, "closed")
-    ended = moment[0] + end.silent_s
+    ended = fake_now[0] + end.silent_s
     for tenths in range(900, int((ended - end.list_age_s) * 10), 5):
         state.unlist({worker_id} if end.listed else set(), tenths / 10)
-    moment[0] = ended
-    if end.reborn:
-        crashes.worker_reborn(state, worker_id)
+    fake_now[0] = ended
+    if end.restarted:
+        crashes.worker_restarted(state, worker_id)
     else:
-        crashes.worker_refuses(state, worker_id)
-    suspected = state.jobs["j"].tasks[0, 0][0].suspicion
-    assert (suspected is not None) == (end.verdict is crashes.Verdict.CRASH)
+        crashes.worker_refused_connection(state, worker_id)
+    suspicion_record = state.jobs["j"].tasks[0, 0][0].suspicion
+    assert (suspicion_record is not None) == (
+        end.verdict is crashes.Verdict.CRASH)
 
 
 @pytest.mark.parametrize("racks", [1, 2, 3])
-def test_crashes_of_whole_racks_fail_no_job(fleet, racks):
+def test_rack_failures_fail_no_job(fleet, racks):
     """Guards against taking a rack that fails again and again for a task."""
-    wait_for(lambda owner=fleet.take_over(): ready(owner))
-    for job_id, step in (("a", SHORT), ("b", LASTING), ("c", GANG)):
+    wait_for(lambda owner=fleet.take_over(): is_ready(owner))
+    for job_id, step in (("a", FINITE), ("b", LONG_RUNNING), ("c", GANG)):
         fleet.submit(fleetfakes.job(job_id, step))
     for failure in range(4):
         wait_for(lambda: len(fleet.running()) == 4)
@@ -286,33 +292,33 @@
                                  for task, run in worker.tasks])
 
 
-def test_a_suspected_task_is_tried_where_nothing_else_begins(monkeypatch):
+def test_suspected_task_runs_on_a_worker_without_other_starts(monkeypatch):
     """Guards against evidence that could come from another new task."""
-    moment = [100.0]
-    monkeypatch.setattr(clock, "now", lambda: moment[0])
+    fake_now = [100.0]
+    monkeypatch.setattr(clock, "now", lambda: fake_now[0])
     bench = test_fleet_state.Bench(*(fleetfakes.entry(n) for n in range(4)))
-    bench.add(fleetfakes.job("j", SHORT))
+    bench.add(fleetfakes.job("j", FINITE))
     worker_id = bench.place()[0].partition("@")[2]
-    moment[0] = bench.now
-    crashes.worker_refuses(bench.state, worker_id)
+    fake_now[0] = bench.now
+    crashes.worker_refused_connection(bench.state, worker_id)
     assert not bench.place()
     job = bench.state.jobs["j"]
-    [apart] = job.on_trial.values()
+    [quarantined_on] = job.on_trial.values()
     bench.add(fleetfakes.job("k", messages.Step(40, SMALL)), 21)
-    assert not any(p.startswith("j.") or p.endswith("@" + apart)
+    assert not any(p.startswith("j.") or p.endswith("@" + quarantined_on)
                    for p in bench.place())
     job.stored_trials = dict(job.on_trial)
     placed = bench.place()
-    assert f"j.0.0.0@{apart}" in placed
-    assert sum(p.endswith("@" + apart) for p in placed) == 1
-    bench.now += suspicion.AT_START_S
+    assert f"j.0.0.0@{quarantined_on}" in placed
+    assert sum(p.endswith("@" + quarantined_on) for p in placed) == 1
+    bench.now += suspicion.STARTUP_WINDOW_S
     bench.add(fleetfakes.job("l", messages.Step(40, SMALL)), 22)
-    assert not any(p.endswith("@" + apart) for p in bench.place())
+    assert not any(p.endswith("@" + quarantined_on) for p in bench.place())
     report_all(bench)
-    assert any(p.endswith("@" + apart) for p in bench.place())
+    assert any(p.endswith("@" + quarantined_on) for p in bench.place())
 
 
-class Shrunk(typing.NamedTuple):
+class CapacityChange(typing.NamedTuple):
     """A worker's processors at the end, and whether another task starts."""
 
     cpu: int
@@ -321,10 +327,10 @@
 
 
 @pytest.mark.parametrize("case", [
-    Shrunk(4000, 0.0, True), Shrunk(1500, 0.0, False),
-    Shrunk(500, 0.0, False), Shrunk(2000, 0.0, True),
-    Shrunk(4000, state_mod.LIST_OLD_S + 0.2, False)])
-def test_a_room_that_shrank_takes_no_more_than_it_holds(case):
+    CapacityChange(4000, 0.0, True), CapacityChange(1500, 0.0, False),
+    CapacityChange(500, 0.0, False), CapacityChange(2000, 0.0, True),
+    CapacityChange(4000, state_mod.LIST_OLD_S + 0.2, False)])
+def test_starts_fit_reduced_worker_capacity(case):
     """Guards against starts by a room that a worker no longer has."""
     bench = test_fleet_state.Bench(fleetfakes.entry(0))
     one = messages.Step(1, messages.Room(1000, 10))
@@ -340,7 +346,7 @@
     assert bench.state.jobs["k"].tasks[0, 0][0].phase == progress.RUNNING
 
 
-def test_a_start_is_taken_back_if_the_room_shrank_while_it_waited():
+def test_start_is_withdrawn_if_capacity_shrinks_before_it_is_sent():
     """Guards against an order sent long after the room was looked at."""
     bench = test_fleet_state.Bench(fleetfakes.entry(0))
     bench.add(fleetfakes.job("j"))
@@ -351,15 +357,16 @@
     assert not bench.place()
 
 
-def test_a_job_that_is_given_up_tells_why():
+def test_failed_job_names_the_crashed_workers():
     """Guards against a failed job whose caller can't tell its cause."""
     state = progress.JobState(fleetfakes.job("j"), 0)
     state.occurrence(0)
-    suspected = suspicion.Suspicion()
-    suspected.add("i-0", 0.01, likely=True, in_trial=False)
+    suspicion_record = suspicion.Suspicion()
+    suspicion_record.add_crash("i-0", 0.01, likely=True, in_quarantine=False)
     for worker_id in ("i-1", "i-2"):
-        suspected.add(worker_id, 0.01, likely=True, in_trial=True)
-    state.tasks[0, 0][0].suspicion = suspected
+        suspicion_record.add_crash(
+            worker_id, 0.01, likely=True, in_quarantine=True)
+    state.tasks[0, 0][0].suspicion = suspicion_record
     assert state.settle()
     stored = progress.encode_progress(state)
     assert progress.state_of(stored) == messages.JOB_FAILED
@@ -367,18 +374,18 @@
         "task 0.0.0 crashed the workers that started it: i-0, i-1, i-2")
 
 
-def test_a_trial_over_but_stored_keeps_no_task_from_running():
+def test_stored_quarantine_on_a_missing_worker_does_not_block_its_task():
     """Guards against a task that waits for a trial that nobody ends."""
     bench = test_fleet_state.Bench(fleetfakes.entry(0), fleetfakes.entry(1))
     for number, job_id in enumerate("ab"):
-        bench.add(fleetfakes.job(job_id, SHORT), 21 + number)
+        bench.add(fleetfakes.job(job_id, FINITE), 21 + number)
         job = bench.state.jobs[job_id]
         job.occurrence(0)
         [task] = job.tasks[0, 0]
         task.suspicion = suspicion.Suspicion(["i-9"], [0.01], likely=True)
         job.on_trial = {task.task: "i-5"}
         job.stored_trials = dict(job.on_trial)
-        bench.state.trials.inherit(job, bench.now)
+        bench.state.trials.restore(job, bench.now)
     for _ in range(30):
         bench.place()
         report_all(bench)
@@ -389,14 +396,14 @@
                for task in job.all_tasks())
 
 
-@pytest.mark.parametrize(("ages_s", "proved"), [
+@pytest.mark.parametrize(("ages_s", "confirmed"), [
     ([0.01, 0.02, 0.01], True), ([0.8, 0.9, 0.7], True),
     ([0.01, 0.2], False), ([0.01, 0.02, 1.5], False),
     ([1.3, 1.45, 0.2], False), ([0.01, 1.5, 0.02, 0.03], True)])
-def test_crashes_in_trials_tell_only_if_they_come_alike(ages_s, proved):
+def test_quarantine_crashes_count_only_at_similar_run_ages(ages_s, confirmed):
     """Guards against a task given up for crashes with other causes."""
-    suspected = suspicion.Suspicion()
+    suspicion_record = suspicion.Suspicion()
     for number, age_s in enumerate(ages_s):
-        suspected.add(f"i-{number}", age_s, likely=False,
-                      in_trial=number > 0)
-    assert suspected.is_proved() == proved
+        suspicion_record.add_crash(f"i-{number}", age_s, likely=False,
+                                   in_quarantine=number > 0)
+    assert suspicion_record.is_confirmed() == confirmed
--- a/tests/test_fleet_machine.py
+++ b/tests/test_fleet_machine.py
@@ -285,7 +285,7 @@
         if state.final():
             self.fleet.drop_final(state)
         else:
-            self.fleet.trials.inherit(state, self.now)
+            self.fleet.trials.restore(state, self.now)
 
     def _expect_workers(self) -> None:
         in_use: dict[str, str] = {}
@@ -719,7 +719,8 @@
         worker = data.draw(strategies.sampled_from(self._alive()))
         self._end_worker(worker)
         if told and self.acting:
-            crashes.worker_refuses(self.fleet, worker.entry.worker_id)
+            crashes.worker_refused_connection(
+                self.fleet, worker.entry.worker_id)
 
     def _end_worker(self, worker: SimulatedWorker) -> None:
         worker.alive = False
@@ -742,7 +743,7 @@
     def crashes_are_noticed(self) -> None:
         for worker_id in list(self.unnoticed):
             self.fleet.worker_silent(worker_id, "closed")
-            crashes.worker_refuses(self.fleet, worker_id)
+            crashes.worker_refused_connection(self.fleet, worker_id)
             del self.unnoticed[worker_id]
 
     @stateful.precondition(lambda self: self.acting and not self.silent
--- a/tests/test_fleet_slowness.py
+++ b/tests/test_fleet_stragglers.py
@@ -4,35 +4,37 @@
 
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import progress
-from sycamorefield.fleet import slowness
+from sycamorefield.fleet import stragglers
 from tests import fleetfakes
 from tests import test_fleet_state
 
-ROOM = messages.Room(1000, 1000)
-
-
-@pytest.mark.parametrize(("estimate", "elapsed", "percent", "more", "stuck"), [
-    (1000, 1.4, 0, {}, False),
-    (1000, 1.6, 0, {}, True),
-    (1000, 1.6, 40, {}, True),
-    (1000, 1.6, 60, {}, False),
-    (200, 0.9, 0, {}, False),
-    (1000, 9.0, 0, {"perpetual": True}, False),
-    (1000, 9.0, 0, {"affinity": "r"}, False),
-    (1000, 2.9, 0, {"fills": True}, False),
-    (1000, 3.1, 0, {"fills": True}, True),
-    (0, 9.0, 0, {}, False),
-])
-def test_stuck_is_told_from_slow(estimate, elapsed, percent, more, stuck):
+RESOURCES = messages.Room(1000, 1000)
+
+
+@pytest.mark.parametrize(
+    ("estimate", "elapsed", "percent", "options", "stuck"), [
+        (1000, 1.4, 0, {}, False),
+        (1000, 1.6, 0, {}, True),
+        (1000, 1.6, 40, {}, True),
+        (1000, 1.6, 60, {}, False),
+        (200, 0.9, 0, {}, False),
+        (1000, 9.0, 0, {"perpetual": True}, False),
+        (1000, 9.0, 0, {"affinity": "r"}, False),
+        (1000, 2.9, 0, {"fills": True}, False),
+        (1000, 3.1, 0, {"fills": True}, True),
+        (0, 9.0, 0, {}, False),
+    ])
+def test_stuck_runs_are_distinguished_from_slow_ones(
+        estimate, elapsed, percent, options, stuck):
     task = progress.TaskState(messages.TaskId("j", 0, 0, 0), messages.Step(
-        1, ROOM, estimate, **more))
+        1, RESOURCES, estimate, **options))
     task.phase = progress.RUNNING
     task.started = 100.0
     task.percent = percent
-    assert slowness.stuck(task, 100.0 + elapsed) is stuck
+    assert stragglers.is_stuck(task, 100.0 + elapsed) is stuck
 
 
-def test_tasks_of_a_worker_that_stands_still_run_elsewhere():
+def test_tasks_move_off_a_hanging_worker():
     """Move tasks off a worker that hangs, and send it none for a while.
 
     Symptom: short jobs took as long as a worker hung.  Events: the worker
@@ -40,7 +42,7 @@
     failed runs counted against a worker.
     """
     bench = test_fleet_state.Bench(fleetfakes.entry(0))
-    bench.add(fleetfakes.job("j", messages.Step(2, ROOM, 500)))
+    bench.add(fleetfakes.job("j", messages.Step(2, RESOURCES, 500)))
     assert len(bench.place()) == 2
     bench.state.add_worker(fleetfakes.entry(1))
     bench.state.enrol(["i-1"])
@@ -54,28 +56,29 @@
     assert not bench.state.workers["i-0"].usable(bench.now)
 
 
-class Load:
+class SimulatedStep:
     """Run one step on workers of which the first is slow."""
 
-    def __init__(self, width: int, estimate_ms: int, run_s: float,
-                 slowness_of_first: float) -> None:
+    def __init__(self, task_count: int, estimate_ms: int, run_s: float,
+                 first_worker_slowdown: float) -> None:
         self.bench = test_fleet_state.Bench(
-            *(fleetfakes.entry(n) for n in range(2 * width + 2)))
+            *(fleetfakes.entry(n) for n in range(2 * task_count + 2)))
         self.run_s = run_s
-        self.slowness_of_first = slowness_of_first
+        self.first_worker_slowdown = first_worker_slowdown
         # When each run under way began.
-        self.begun: dict[str, dict[tuple[messages.TaskId, int], float]] = {}
+        self.started_at: dict[str,
+                              dict[tuple[messages.TaskId, int], float]] = {}
         self.numbers = dict.fromkeys(self.bench.state.workers, 0)
         self.starts = 0
         # As wide as a worker, so that each task has one for itself.
         self.bench.add(fleetfakes.job("j", messages.Step(
-            width, messages.Room(4000, 10), estimate_ms)))
+            task_count, messages.Room(4000, 10), estimate_ms)))
 
     def place(self) -> None:
         before = len(self.bench.orders)
         self.bench.place()
         for worker_id, order in self.bench.orders[before:]:
-            runs = self.begun.setdefault(worker_id, {})
+            runs = self.started_at.setdefault(worker_id, {})
             if isinstance(order, messages.StartOrder):
                 self.starts += 1
                 runs[order.task, order.run] = self.bench.now
@@ -83,19 +86,19 @@
                 self.end(worker_id, (order.task, order.run), "stopped")
 
     def end(self, worker_id: str, run: tuple[messages.TaskId, int],
-            how: str) -> None:
-        if self.begun[worker_id].pop(run, None) is None:
+            reason: str) -> None:
+        if self.started_at[worker_id].pop(run, None) is None:
             return
         self.numbers[worker_id] += 1
         self.bench.report(worker_id, [], [messages.EndedTask(
-            self.numbers[worker_id], *run, how, "")])
+            self.numbers[worker_id], *run, reason, "")])
 
     def advance(self) -> None:
-        for worker_id, runs in self.begun.items():
-            needed = self.run_s * (self.slowness_of_first
+        for worker_id, runs in self.started_at.items():
+            needed = self.run_s * (self.first_worker_slowdown
                                    if worker_id == "i-0" else 1.0)
-            for run, at in list(runs.items()):
-                done = (self.bench.now - at) / needed
+            for run, start_time in list(runs.items()):
+                done = (self.bench.now - start_time) / needed
                 if done >= 1.0:
                     self.end(worker_id, run, messages.DONE)
                 else:
@@ -104,7 +107,7 @@
 
 
 @pytest.mark.parametrize(
-    ("width", "estimate_ms", "run_s", "slow", "starts", "within_s"), [
+    ("task_count", "estimate_ms", "run_s", "slowdown", "starts", "within_s"), [
         (8, 200, 1.7, 1.0, 8, 2.0),
         (8, 200, 1.7, 7.5, 9, 6.0),
         (8, 640, 0.64, 7.5, 9, 3.0),
@@ -115,12 +118,13 @@
     ], ids=["low-estimate", "low-estimate-slow-worker", "slow-worker",
             "worker-stands-still", "alone", "alone-long",
             "alone-worker-stands-still"])
-def test_tasks_with_low_estimates_are_not_stopped_again_and_again(
-        width, estimate_ms, run_s, slow, starts, within_s):
-    load = Load(width, estimate_ms, run_s, slow)
-    begun = load.bench.now
-    while load.bench.state.active and load.bench.now < begun + 30.0:
-        load.place()
-        load.advance()
-    assert load.bench.now - begun <= within_s
-    assert load.starts <= starts
+def test_low_estimates_do_not_cause_repeated_stops(
+        task_count, estimate_ms, run_s, slowdown, starts, within_s):
+    simulation = SimulatedStep(task_count, estimate_ms, run_s, slowdown)
+    began_at = simulation.bench.now
+    while (simulation.bench.state.active
+           and simulation.bench.now < began_at + 30.0):
+        simulation.place()
+        simulation.advance()
+    assert simulation.bench.now - began_at <= within_s
+    assert simulation.starts <= starts
