--- a/sycamorefield/fleet/advice.py
+++ b/sycamorefield/fleet/advice.py
@@ -1,8 +1,9 @@
-"""Ask which workers a step may run on, and keep the tickets that say so.
+"""Request advice on which workers may run a step, and cache its tickets.
 
-Some queues have a policy that only an advice service knows.  It answers one
-call at a time for each calling VM and takes a while for each worker named,
-so calls name the workers that have most room, and no more than a step needs.
+The policy of some queues is known only to an advice service.  It answers one
+call at a time for each calling VM and takes some time for each worker named,
+so calls name the workers with the most free capacity, and no more of them
+than a step needs.
 """
 
 import dataclasses
@@ -14,11 +15,10 @@
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import surroundings
 
-# Workers named in one call.  The objective of a job leaves time for one call
-# on 30 workers a step.
+# The latency objective of a job allows one call with 30 workers per step.
 MAX_WORKERS_PER_CALL = 30
-# A ticket is used until this long before it ends: a start takes some
-# milliseconds on its way, and one that comes too late is rejected.
+# Tickets are used until this long before they expire: a start takes some
+# milliseconds to arrive and is rejected if the ticket has expired by then.
 EXPIRY_MARGIN_S = 0.5
 RETRY_DELAY_S = 0.2
 MAX_IDLE_WAIT_S = 0.5
@@ -26,7 +26,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ticket:
-    """Allow starts of a step on one worker until a moment of clock.now()."""
+    """Permission to start a step on one worker.
+
+    valid_until is a time of clock.now(), in seconds.
+    """
 
     text: str
     valid_until: float
@@ -34,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdviceRequest:
-    """Ask about one step and some workers."""
+    """A request for advice on one step and some workers."""
 
     step: messages.StepId
     workers: tuple[str, ...]
@@ -42,7 +45,7 @@
 
 
 class AdviceCache:
-    """Hold what was advised, and ask what placing wants to know."""
+    """Cache advice, and request what placement needs."""
 
     def __init__(self, service: surroundings.AdviceService | None) -> None:
         self.service = service
@@ -54,19 +57,16 @@
 
     def valid_tickets(self, step: messages.StepId,
                       now: float) -> dict[str, str]:
-        """Return the tickets that can still be used, by worker."""
+        """Return the usable tickets for a step, by worker."""
         with self.lock:
             return {worker_id: ticket.text for worker_id, ticket
                     in self.tickets.get(step, {}).items()
                     if ticket.valid_until - EXPIRY_MARGIN_S > now}
 
-    def request_advice(
-            self,
-            step: messages.StepId,
-            workers: typing.Iterable[str],
-            policy: messages.AdvicePolicy,
-            now: float) -> None:
-        """Ask about those of some workers that nothing is known of."""
+    def request_advice(self, step: messages.StepId,
+                       workers: typing.Iterable[str],
+                       policy: messages.AdvicePolicy, now: float) -> None:
+        """Queue a request for those of some workers without cached advice."""
         valid_tickets = self.valid_tickets(step, now)
         with self.lock:
             rejected_workers = self.rejected_workers.get(step, set())
@@ -78,22 +78,22 @@
                 self.lock.notify_all()
 
     def discard_ticket(self, step: messages.StepId, worker_id: str) -> None:
-        """Forget a ticket that the worker did not take."""
+        """Discard a ticket that the worker rejected."""
         with self.lock:
             self.tickets.get(step, {}).pop(worker_id, None)
 
     def forget_job(self, job_id: str) -> None:
-        """Forget all about a job that has ended."""
+        """Discard advice and requests for a job that has ended."""
         with self.lock:
-            for step in [
-                    s for s in self.rejected_workers if s.job_id == job_id]:
+            for step in [s for s in self.rejected_workers
+                         if s.job_id == job_id]:
                 del self.rejected_workers[step]
                 self.tickets.pop(step, None)
             for step in [s for s in self.pending if s.job_id == job_id]:
                 del self.pending[step]
 
     def run(self, stop_event: threading.Event) -> None:
-        """Ask question after question until told that it is over."""
+        """Send pending requests until the event is set."""
         while not stop_event.is_set():
             request = self._next_request()
             if request is None:
@@ -108,7 +108,7 @@
             return next(iter(self.pending.values()), None)
 
     def fetch(self, request: AdviceRequest) -> bool:
-        """Ask one question; tell whether it was answered."""
+        """Send a request; return whether it was answered."""
         try:
             if self.service is None:
                 raise surroundings.CallRefused("no advice service is set")
@@ -121,13 +121,13 @@
         tickets_by_worker = advice.tickets
         valid_ms = (request.policy.valid_ms if advice.valid_ms is None
                     else advice.valid_ms)
-        # A ticket is made out when the service answers.
+        # Tickets are issued when the service answers.
         valid_until = clock.now() + valid_ms / 1000.0
         events.emit(events.ADVICE_GIVEN, step=str(request.step),
                     asked=len(request.workers), good=len(tickets_by_worker))
         with self.lock:
             if request.step not in self.pending:
-                # The job has ended meanwhile.
+                # The job has ended in the meantime.
                 return True
             tickets = self.tickets.setdefault(request.step, {})
             for worker_id, text in tickets_by_worker.items():
--- a/sycamorefield/fleet/interference.py
+++ b/sycamorefield/fleet/interference.py
@@ -1,11 +1,11 @@
-"""Learn which filling images disturb which serving images, and how much.
-
-A serving task behaves like a queue: its tail is a base of its image divided
-by (1 - utilisation).  Utilisation is the task's own load plus what the
-filling runs beside it add; equal additions hardly show at low load and
-multiply the tail at high load.  All tasks of a step share one load, so the
-least disturbed of them shows the load, and what another one has more is the
-disturbance on its worker.
+"""Learn which best-effort images slow which serving images, and how much.
+
+A serving task behaves like a queue: its tail latency is a base of its image
+divided by (1 - utilisation).  Utilisation is the task's own load plus what
+the best-effort runs on its worker add.  The same addition hardly shows at low
+load and multiplies the tail latency at high load.  All tasks of a step share
+one load, so the least disturbed of them shows the load, and the excess of
+another one is the disturbance on its worker.
 """
 
 import collections
@@ -16,49 +16,49 @@
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import weights
 
-# One task of a step: its worker and its number in the step.
+# A task of a step: the id of its worker and its number in the step.
 StepMember = tuple[str, int]
 
-# Serving tasks are taken to have this load when their tail is lowest.
+# The load assumed for serving tasks at their lowest tail latency.
 MIN_LOAD = 0.2
-# The lowest tail of an image is followed as about its first percentile: it
-# falls by 2% at a sample below it and rises by a hundredth of that at one
-# above, so that a single odd figure does not set it.
+# The lowest tail latency of an image is estimated as roughly the first
+# percentile: the estimate falls by 2% at a sample below it and rises by a
+# hundredth of that at one above, so that a single outlier doesn't set it.
 LOWEST_TAIL_DECREASE = 0.02
 LOWEST_TAIL_INCREASE = 0.0002
-# A task's figure counts toward its step's load for this long.
+# A sample of a task counts towards the load of its step for this long.
 MAX_SAMPLE_AGE_S = 1.0
-# The load of a step is known from this many fresh tasks.
+# The load of a step is known with current samples of this many tasks.
 MIN_TASKS_FOR_LOAD = 3
-# What is remembered of a step's highest load fades by this a second.
+# The remembered peak load of a step decays by this much per second.
 PEAK_DECAY_PER_S = 0.01
-# How far a load rises while a filling run of 2 to 3 s works: the steepest
-# part of a swing of 0.45 in 14 s rises by 0.1 a second.
+# The highest rise of a load during a best-effort run of 2 to 3 s.  A load that
+# swings by 0.45 with a period of 14 s rises by at most 0.1 per second.
 MAX_LOAD_RISE = 0.15
-# While the load of a step falls, it is expected to rise by no more than this:
-# it may turn within the run.
+# The highest expected rise of a load that currently falls, as it may turn
+# during the run.
 MIN_LOAD_RISE = 0.04
-# The slope of a load is taken over this long; shorter, and the error of its
-# samples (some 0.03) hides it, longer, and it is known too late.
+# The window for the slope of a load.  In a shorter one the error of the
+# samples (about 0.03) hides it; with a longer one it is known too late.
 SLOPE_WINDOW_S = 1.5
-# A filling run works for about this long.
+# The typical duration of a best-effort run.
 TYPICAL_RUN_S = 2.5
-# What a run adds below this is no more than the error of what was learnt.
+# Added utilisation below this is within the error of the learnt weights.
 NEGLIGIBLE_UTILISATION = 0.02
-# More than the load by this much is taken for a disturbance.
+# The least excess of utilisation over load that counts as a disturbance.
 MIN_DISTURBANCE = 0.05
 MAX_UTILISATION = 0.98
-# Steps whose load is remembered; a lasting job has one or two.
+# The number of steps whose load is kept.  A long-running job has one or two.
 MAX_STEPS = 4096
 
 
 @dataclasses.dataclass(slots=True)
 class TailLatency:
-    """A serving task's tail against its target, as last reported.
+    """The last reported tail latency of a serving task.
 
-    ratio is tail divided by target; utilisation is raised by what a new run
-    is expected to add until the next report tells.  load and peak are those
-    of its step now and at most.
+    ratio is tail latency divided by target.  utilisation includes what runs
+    placed since the report are expected to add.  load and peak_load are the
+    current and the highest recent load of the task's step.
     """
 
     image: str
@@ -68,48 +68,49 @@
     load: float
     peak_load: float
     load_known: bool = True
-    # How far the load may rise while a filling run works.
+    # The highest rise of the load to allow for during a best-effort run.
     max_rise: float = MAX_LOAD_RISE
-    # The part of that rise which is to be expected; rounds ask for it for
-    # each worker and image.
+    # The part of max_rise that stays below peak_load.  Computed once because
+    # placement rounds need it for each worker and image.
     expected_rise: float = dataclasses.field(init=False)
 
     def __post_init__(self) -> None:
         self.expected_rise = self.expected_load() - self.load
 
     def disturbance(self) -> float:
-        """Return the utilisation that is not the task's own load."""
+        """Return the utilisation in excess of the task's own load."""
         return max(0.0, self.utilisation - self.load)
 
     def expected_load(self) -> float:
-        """Return the highest load to expect while a filling run works."""
+        """Return the highest load expected during a best-effort run."""
         return min(max(self.peak_load, self.load), self.load + self.max_rise)
 
     def utilisation_at_ratio(self, ratio: float) -> float:
-        """Return the utilisation at which the tail has a ratio."""
+        """Return the utilisation that results in a ratio."""
         return 1.0 - self.base_ratio / ratio
 
     def ratio_with_added(self, added_utilisation: float) -> float:
-        """Return the ratio to expect once utilisation is added."""
+        """Return the ratio expected with additional utilisation."""
         utilisation = self.utilisation + self.expected_rise + added_utilisation
         utilisation = min(MAX_UTILISATION, utilisation)
         return self.base_ratio / (1.0 - utilisation)
 
 
 class StepLoad:
-    """Follow the load that the tasks of one step share."""
+    """Track the load that the tasks of one step share."""
 
     def __init__(self) -> None:
+        # The time and utilisation of the last sample of each task.
         self.samples: dict[StepMember, tuple[float, float]] = {}
         self.peak_load = 0.0
         self.peak_load_at = 0.0
-        # Loads of the last moments: when and how high.
+        # The times and values of the load within SLOPE_WINDOW_S.
         self.load_history: collections.deque[tuple[float, float]] = (
             collections.deque())
 
     def add_sample(self, member: StepMember, utilisation: float,
                    now: float) -> float | None:
-        """Take in one task's utilisation; return the load once known."""
+        """Add a task's utilisation; return the load if it is known."""
         self.samples[member] = (now, utilisation)
         for other_member, (at, _) in list(self.samples.items()):
             if now - at > MAX_SAMPLE_AGE_S:
@@ -117,8 +118,8 @@
         if len(self.samples) < MIN_TASKS_FOR_LOAD:
             return None
         load = max(0.0, min(value for _, value in self.samples.values()))
-        decayed_peak = self.peak_load - \
-            PEAK_DECAY_PER_S * (now - self.peak_load_at)
+        decayed_peak = (self.peak_load
+                        - PEAK_DECAY_PER_S * (now - self.peak_load_at))
         self.peak_load, self.peak_load_at = max(load, decayed_peak), now
         self.load_history.append((now, load))
         while now - self.load_history[0][0] > SLOPE_WINDOW_S:
@@ -126,29 +127,29 @@
         return load
 
     def max_rise(self) -> float:
-        """Return how far the load may rise while a filling run works.
+        """Return how far the load may rise during a best-effort run.
 
-        A load that swings falls for half of the time.  Taken to rise always,
-        it keeps filling runs off workers that have processors for them: one
-        sees tasks wait beside hundreds of idle cores.  Going by the slope
-        errs to the low side, as the slope is known late.
+        A load that swings falls half of the time.  Assuming a rise at any
+        time would keep best-effort runs off workers with free processors, so
+        that tasks wait next to hundreds of idle cores.  A forecast by slope
+        tends to be too low, because the slope is known late.
         """
         (first_at, first_load), (last_at, last_load) = (
             self.load_history[0], self.load_history[-1])
         if last_at - first_at < SLOPE_WINDOW_S / 2:
             return MAX_LOAD_RISE
-        max_rise = MIN_LOAD_RISE + TYPICAL_RUN_S * \
-            (last_load - first_load) / (last_at - first_at)
+        max_rise = MIN_LOAD_RISE + (
+            TYPICAL_RUN_S * (last_load - first_load) / (last_at - first_at))
         return min(MAX_LOAD_RISE, max(MIN_LOAD_RISE, max_rise))
 
 
 class InterferenceModel:
-    """Hold base tails of images, loads of steps and weights of pairs."""
+    """Estimate base latencies, loads of steps and weights of image pairs."""
 
     def __init__(self, learn_weights: bool = True, limit_tails: bool = True,
                  follow_slopes: bool = True) -> None:
-        # Whether weights are learnt, whether they limit who goes where, and
-        # whether a load is expected to go on as it rises or falls.
+        # Whether weights are learnt, whether tail latencies limit placement,
+        # and whether load forecasts follow the current slope.
         self.learn_weights = learn_weights
         self.limit_tails = limit_tails
         self.follow_slopes = follow_slopes
@@ -158,7 +159,7 @@
             collections.OrderedDict())
 
     def encode(self) -> bytes:
-        """Return what was learnt of images, for a successor."""
+        """Return lowest tail latencies and weights, for a succeeding owner."""
         return json.dumps({
             image: [round(lowest_ms, 2), {
                 best_effort_image: round(weight, 4)
@@ -172,36 +173,33 @@
         return fit.weights if fit is not None else {}
 
     def decode(self, value: bytes) -> None:
-        """Begin with what a predecessor learnt; raises ValueError."""
+        """Load a previous owner's weights; raise ValueError if malformed."""
         try:
-            for image, (lowest_ms, weights_by_image) in json.loads(
-                    value).items():
+            for image, (lowest_ms, weights_by_image) in (
+                    json.loads(value).items()):
                 self.lowest_tails_ms[image] = float(lowest_ms)
                 self.fits[image] = weights.WeightFit(
                     {name: float(weight)
                      for name, weight in weights_by_image.items()})
         except (TypeError, AttributeError) as exc:
-            raise ValueError(f"not a record of images: {exc!r}") from exc
+            raise ValueError(
+                f"malformed interference record: {exc!r}") from exc
 
     def weight(self, serving_image: str, best_effort_image: str) -> float:
-        """Return the utilisation that a filling core adds."""
+        """Return the utilisation that a core of a best-effort run adds."""
         fit = self.fits.get(serving_image)
         if fit is None:
             return weights.INITIAL_WEIGHT
         return fit.weights.get(best_effort_image, weights.INITIAL_WEIGHT)
 
-    def add_report(self,
-                   image: str,
-                   tail_ms: float,
-                   target_ms: float,
-                   step: messages.StepId,
-                   member: StepMember,
+    def add_report(self, image: str, tail_ms: float, target_ms: float,
+                   step: messages.StepId, member: StepMember,
                    best_effort_runs: list[weights.BestEffortUsage],
                    now: float) -> TailLatency:
-        """Return a reported tail with the load that its step has.
+        """Add a reported tail latency and relate it to the step's load.
 
-        While the load is not known, what the fillers beside the task are
-        expected to add is taken off its utilisation.
+        While the load is unknown, it is the utilisation less what the
+        best-effort runs on the worker are expected to add.
         """
         base_ms = self._update_base_ms(image, tail_ms)
         utilisation = 1.0 - base_ms / tail_ms
@@ -212,23 +210,17 @@
         load = step_load.add_sample(member, utilisation, now)
         known = load is not None
         if load is None:
-            load = max(0.0, utilisation -
-                       sum(self.weight(image, run.image) *
-                           run.cores for run in best_effort_runs))
+            load = max(0.0, utilisation - sum(
+                self.weight(image, run.image) * run.cores
+                for run in best_effort_runs))
         return TailLatency(
-            image,
-            tail_ms /
-            target_ms,
-            base_ms /
-            target_ms,
-            utilisation,
-            load,
-            step_load.peak_load,
-            known,
+            image, tail_ms / target_ms, base_ms / target_ms, utilisation,
+            load, step_load.peak_load, known,
             step_load.max_rise() if known and self.follow_slopes
             else MAX_LOAD_RISE)
 
     def _update_base_ms(self, image: str, tail_ms: float) -> float:
+        """Update the lowest tail latency; return the one without load."""
         lowest_ms = self.lowest_tails_ms.get(image)
         if lowest_ms is None:
             lowest_ms = tail_ms
@@ -241,21 +233,18 @@
 
     def observe(self, tail: TailLatency,
                 best_effort_runs: list[weights.BestEffortUsage]) -> None:
-        """Learn from one tail and what ran beside it."""
+        """Learn weights from a tail latency and the runs next to the task."""
         if self.learn_weights and tail.load_known:
             fit = self.fits.setdefault(tail.image, weights.WeightFit())
             fit.add(tail.utilisation - tail.load, best_effort_runs)
 
-    def keeps_tails_below(
-            self,
-            tails: typing.Iterable[TailLatency],
-            image: str,
-            cores: float,
-            ratio_limit: float) -> bool:
-        """Tell whether a run keeps each tail that it harms below a ratio.
+    def keeps_tails_below(self, tails: typing.Iterable[TailLatency],
+                          image: str, cores: float,
+                          ratio_limit: float) -> bool:
+        """Return whether tail latencies that a run raises stay below a ratio.
 
-        A tail that the run does not harm is no reason against it, however
-        high the task's own load has driven it.
+        A tail latency that the run doesn't raise never counts against it,
+        however high it is due to the task's own load.
         """
         for tail in tails:
             added_utilisation = self.weight(tail.image, image) * cores
@@ -265,18 +254,13 @@
                 return False
         return True
 
-    def add_expected_utilisation(
-            self,
-            tails: typing.Iterable[TailLatency],
-            image: str,
-            cores: float) -> None:
-        """Raise the utilisation of tails by what a new run will add."""
+    def add_expected_utilisation(self, tails: typing.Iterable[TailLatency],
+                                 image: str, cores: float) -> None:
+        """Add the expected utilisation of a new run to serving tasks."""
         for tail in tails:
             tail.utilisation += self.weight(tail.image, image) * cores
 
-    def total_weight(
-            self,
-            tails: typing.Iterable[TailLatency],
-            image: str) -> float:
-        """Return the summed weights of an image over serving tasks."""
+    def total_weight(self, tails: typing.Iterable[TailLatency],
+                     image: str) -> float:
+        """Return the sum of an image's weights over serving tasks."""
         return sum(self.weight(tail.image, image) for tail in tails)
--- a/sycamorefield/fleet/pacer.py
+++ b/sycamorefield/fleet/pacer.py
@@ -1,4 +1,4 @@
-"""Pace filling runs by the tails that a worker's report shows."""
+"""Pace best-effort runs by the tail latencies in a worker's reports."""
 
 import typing
 
@@ -11,32 +11,32 @@
 from sycamorefield.fleet import weights
 from sycamorefield.fleet import workerstate
 
-# A filling run slowed to this share or less for a second moves to a worker
-# where it is expected to harm nobody, if there is one.
+# A best-effort run at this pace or less for a second moves to a worker where
+# it is not expected to disturb any task, if there is one.
 STALLED_PACE_PERCENT = 10
 
 Send = typing.Callable[[str, messages.PaceOrder], None]
 
 
 def is_stalled(task: progress.TaskState) -> bool:
-    """Tell whether a run makes so little progress that it should move."""
+    """Return whether a run is so slow that it should move."""
     return task.stuck or (task.step.fills
                           and 0 <= task.pace <= STALLED_PACE_PERCENT)
 
 
 class Pacer:
-    """Learn which images disturb which, and tell workers the paces."""
+    """Learn from reported tail latencies and send paces to workers."""
 
     def __init__(self, model: interference.InterferenceModel,
                  send: Send, enabled: bool = True) -> None:
         self.model = model
         self.send = send
-        # Whether shares are changed, or tails only learnt from.
+        # If false, weights are learnt but paces don't change.
         self.enabled = enabled
 
     def process_report(self, worker: workerstate.WorkerState,
                        report: messages.WorkerReport, now: float) -> None:
-        """Learn from the tails of a report and pace what fills."""
+        """Learn from a worker's report and pace its best-effort runs."""
         rows = [(row, worker.tasks[row.task, row.run])
                 for row in report.running
                 if (row.task, row.run) in worker.tasks]
@@ -44,10 +44,8 @@
             (row, task) for row, task in rows
             if task.step.fills and task.phase != progress.STOPPING]
         best_effort_usage = [
-            weights.BestEffortUsage(
-                task.step.image,
-                row.figure / 1000.0) for row,
-            task in best_effort_runs]
+            weights.BestEffortUsage(task.step.image, row.figure / 1000.0)
+            for row, task in best_effort_runs]
         worker.tails = []
         worker.unused_cpu = 0.0
         for row, task in rows:
@@ -71,22 +69,15 @@
         self._send_paces(
             worker, [task for _, task in best_effort_runs], next_paces, now)
 
-    def _record_tail(self,
-                     worker: workerstate.WorkerState,
-                     row: messages.RunningTask,
-                     task: progress.TaskState,
+    def _record_tail(self, worker: workerstate.WorkerState,
+                     row: messages.RunningTask, task: progress.TaskState,
                      best_effort_usage: list[weights.BestEffortUsage],
                      now: float) -> None:
         task_id = task.task
         tail = self.model.add_report(
-            task.step.image,
-            row.figure,
-            task.step.target_ms,
-            task_id.step_id(),
-            (worker.entry.worker_id,
-             task_id.number),
-            best_effort_usage,
-            now)
+            task.step.image, row.figure, task.step.target_ms,
+            task_id.step_id(), (worker.entry.worker_id, task_id.number),
+            best_effort_usage, now)
         worker.tails.append(tail)
         worker.unused_cpu += task.step.room.cpu * (
             1.0 - tail.expected_load())
@@ -108,8 +99,8 @@
             self.send(worker.entry.worker_id,
                       messages.PaceOrder(task.task, task.run, next_pace))
         if changes:
-            # Each change: task, run, image, new pace, pace before.
-            worst_ratio = max(
-                (tail.ratio for tail in worker.tails), default=0.0)
+            # Each change: task, run, image, new pace, previous pace.
+            worst_ratio = max((tail.ratio for tail in worker.tails),
+                              default=0.0)
             events.emit(events.PACE_CHANGED, worst=round(worst_ratio, 2),
                         worker=worker.entry.worker_id, changes=changes)
--- a/sycamorefield/fleet/quarantines.py
+++ b/sycamorefield/fleet/quarantines.py
@@ -1,4 +1,4 @@
-"""Keep workers set aside for tasks that are suspected of crashing them."""
+"""Reserve workers for runs of tasks suspected of crashing workers."""
 
 import dataclasses
 import typing
@@ -10,9 +10,9 @@
 from sycamorefield.fleet import suspicion
 from sycamorefield.fleet import workerstate
 
-# At most one in so many workers is set aside: others need room, too.
+# At most one in this many workers is quarantined: other tasks need capacity.
 WORKERS_PER_QUARANTINE = 2
-# A worker set aside is given back if its task could not start in this time.
+# A quarantined worker is released if its task could not start in this time.
 START_TIMEOUT_S = 3.0
 
 Workers = typing.Mapping[str, workerstate.WorkerState]
@@ -20,62 +20,59 @@
 
 @dataclasses.dataclass(eq=False, slots=True)
 class Quarantine:
-    """Hold one suspected task, or a gang with one, and its workers."""
+    """One suspected task, or a gang that includes one, and its workers."""
 
     job: progress.JobState
     members: list[tuple[progress.TaskState, str]]
     created_at: float
-    # The number of its runs once they are ordered.
+    # The run number of its members once their starts are ordered, else 0.
     run: int = 0
-    # Whether an earlier owner set the workers aside, who may have started it.
+    # Whether a previous owner created it and may have started its members.
     restored: bool = False
 
     def worker_ids(self) -> set[str]:
-        """Return the ids of its workers."""
+        """Return the ids of the quarantined workers."""
         return {worker_id for _, worker_id in self.members}
 
     def assignments(self) -> dict[messages.TaskId, str]:
-        """Return what must be stored before it starts."""
+        """Return the worker of each task, to be stored before the start."""
         return {task.task: worker_id for task, worker_id in self.members}
 
     def quarantine_s(self) -> float:
-        """Return for how many seconds its runs must go on to pass."""
+        """Return the run age in seconds at which the members are cleared."""
         return max((task.suspicion.quarantine_s() for task, _ in self.members
                     if task.suspicion is not None),
                    default=suspicion.STARTUP_WINDOW_S)
 
 
 class Quarantines:
-    """Know which workers are set aside, for which tasks."""
+    """Index the quarantines of a fleet by worker and by task."""
 
     def __init__(self) -> None:
         self.by_worker: dict[str, Quarantine] = {}
         self.by_task: dict[messages.TaskId, Quarantine] = {}
 
     def tasks_on(self, worker_id: str) -> list[progress.TaskState]:
-        """Return the tasks that a worker is set aside for."""
+        """Return the tasks that a worker is quarantined for."""
         quarantine = self.by_worker.get(worker_id)
         return [] if quarantine is None else [
             task for task, member_worker_id in quarantine.members
             if member_worker_id == worker_id]
 
     def can_add(self, usable_workers: int) -> bool:
-        """Tell whether another worker of so many may be set aside."""
-        return len(
-            self.by_worker) < max(
-            1,
-            usable_workers //
-            WORKERS_PER_QUARANTINE)
+        """Return whether one more usable worker may be quarantined."""
+        return len(self.by_worker) < max(
+            1, usable_workers // WORKERS_PER_QUARANTINE)
 
     def add(self, quarantine: Quarantine) -> None:
-        """Set workers aside."""
+        """Quarantine the workers of the members."""
         for task, worker_id in quarantine.members:
             self.by_worker[worker_id] = quarantine
             self.by_task[task.task] = quarantine
             quarantine.job.on_trial[task.task] = worker_id
 
     def restore(self, job: progress.JobState, now: float) -> None:
-        """Go on with the trials that an earlier owner has stored."""
+        """Restore the quarantines that a previous owner stored with a job."""
         members_by_key: dict[object, list[tuple[progress.TaskState, str]]] = {}
         for task_id, worker_id in job.on_trial.items():
             task = job.find(task_id)
@@ -86,7 +83,7 @@
             self.add(Quarantine(job, members, now, restored=True))
 
     def release(self, quarantine: Quarantine, reason: str) -> None:
-        """Give the workers of a trial back."""
+        """Release the workers of a quarantine."""
         for task, worker_id in quarantine.members:
             if self.by_worker.get(worker_id) is quarantine:
                 del self.by_worker[worker_id]
@@ -99,7 +96,7 @@
             for task, worker_id in quarantine.members])
 
     def release_finished(self, workers: Workers, now: float) -> None:
-        """Give back the workers of trials that are over."""
+        """Release the workers of all quarantines that have ended."""
         for quarantine in set(self.by_task.values()):
             reason = _release_reason(quarantine, workers, now)
             if reason:
@@ -107,9 +104,10 @@
 
 
 def is_ready(quarantine: Quarantine, workers: Workers, now: float) -> bool:
-    """Tell whether a crash from now on could only come from the trial.
+    """Return whether only the quarantined tasks could cause a crash from now.
 
-    What is stored of it tells a successor whom to suspect.
+    Their assignments must be stored, so that a succeeding owner knows which
+    tasks to suspect, and no other run on the workers may have just started.
     """
     assignments = quarantine.assignments()
     if any(quarantine.job.stored_trials.get(task_id) != worker_id
@@ -124,7 +122,7 @@
 def has_recent_start(worker: workerstate.WorkerState, now: float,
                      excluding: typing.Container[progress.TaskState] = ()
                      ) -> bool:
-    """Tell whether a run on a worker has just begun, or is about to."""
+    """Return whether a run on a worker has just started or is about to."""
     return any(
         task.run == run and task not in excluding
         and (not task.started
@@ -134,27 +132,25 @@
 
 def fits(quarantine: Quarantine, workers: Workers, service: str,
          tickets: dict[str, str] | None) -> bool:
-    """Tell whether rules and room still let a trial run on its workers."""
+    """Return whether rules and free capacity still allow the runs."""
     for worker_id in quarantine.worker_ids():
         if tickets is not None and worker_id not in tickets:
             return False
         worker = workers[worker_id]
-        need = messages.Room()
+        required = messages.Room()
         for task, member_worker_id in quarantine.members:
             if member_worker_id == worker_id:
-                need = need.plus(task.step.reserved())
+                required = required.plus(task.step.reserved())
                 if not placing.allowed(worker, service, task):
                     return False
-        if not worker.free().holds(need):
+        if not worker.free().holds(required):
             return False
     return True
 
 
-def _release_reason(
-        quarantine: Quarantine,
-        workers: Workers,
-        now: float) -> str:
-    """Return why a trial is over, or nothing."""
+def _release_reason(quarantine: Quarantine, workers: Workers,
+                    now: float) -> str:
+    """Return why a quarantine has ended, or an empty string."""
     if quarantine.job.final():
         return "job " + quarantine.job.state
     if quarantine.restored and not quarantine.run:
@@ -166,17 +162,20 @@
         return _started_release_reason(quarantine, workers)
     if any(task.done or task.phase != progress.IDLE
            for task, _ in quarantine.members):
-        return "task does not wait"
+        return "task is not waiting"
     if any(not workers[worker_id].usable(now)
            for worker_id in quarantine.worker_ids()):
-        return "worker takes no starts"
+        return "worker accepts no starts"
     if now - quarantine.created_at > START_TIMEOUT_S:
-        return "could not start"
+        return "start timed out"
     return ""
 
 
 def _restored_release_reason(quarantine: Quarantine, workers: Workers) -> str:
-    """Wait until its workers tell what runs there."""
+    """Return why a restored quarantine has ended, or an empty string.
+
+    Sets its run number once all of its workers have reported their runs.
+    """
     for worker_id in quarantine.worker_ids():
         worker = workers.get(worker_id)
         if worker is None:
@@ -195,15 +194,15 @@
     current = [task for task, worker_id in quarantine.members
                if task.run == quarantine.run and task.worker_id == worker_id]
     if len(current) < len(quarantine.members):
-        return "run is over"
-    # Without a later report the worker may have crashed unnoticed.
+        return "run ended"
+    # A worker that has not reported since may have crashed unnoticed.
     last_report_at = min(workers[worker_id].reported_at
                          for worker_id in quarantine.worker_ids())
     started_at = [task.started for task in current]
-    if not min(started_at) or last_report_at - \
-            max(started_at) < quarantine.quarantine_s():
+    if (not min(started_at) or last_report_at - max(started_at)
+            < quarantine.quarantine_s()):
         return ""
     for task in current:
-        # One that crashes its workers does so each time.
+        # A task that crashes its workers does so in every run.
         task.suspicion = None
     return "passed"
--- a/sycamorefield/fleet/stragglers.py
+++ b/sycamorefield/fleet/stragglers.py
@@ -1,23 +1,23 @@
-"""Tell tasks that stand still or crawl from those that just take long."""
+"""Detect tasks that hang or run slowly, as opposed to long ones."""
 
 import statistics
 
 from sycamorefield.fleet import progress
 
-# A task is stuck when it has run for 1.5 times what it should take and, at its
-# pace so far, needs as long again: it would take three times as long, and less
-# if it began anew elsewhere.
+# A task is stuck when it has run for 1.5 times its expected duration and, at
+# its speed so far, needs as long again.  It would then take three times its
+# expected duration, and less if it restarted elsewhere.
 OVERDUE_FACTOR = 1.5
 MIN_ELAPSED_S = 1.0
-# Tasks that fill share what is left over and are often slower.
+# Best-effort tasks share left-over processors and are often slower.
 BEST_EFFORT_OVERDUE_FACTOR = 3.0
 BEST_EFFORT_MIN_ELAPSED_S = 2.0
-# A worker with this many stuck tasks is slow itself.
+# A worker with at least this many stuck tasks is considered slow itself.
 MIN_STUCK_TASKS = 2
 
 
 def is_stuck(task: progress.TaskState, now: float) -> bool:
-    """Tell whether a running task should rather run elsewhere."""
+    """Return whether a running task should restart elsewhere."""
     step = task.step
     if (step.perpetual or not step.estimate_ms or step.affinity
             or step.same_rack or task.phase != progress.RUNNING
@@ -29,27 +29,24 @@
     overdue_factor, min_elapsed_s = (
         (BEST_EFFORT_OVERDUE_FACTOR, BEST_EFFORT_MIN_ELAPSED_S)
         if step.fills else (OVERDUE_FACTOR, MIN_ELAPSED_S))
-    if elapsed_s < max(
-            min_elapsed_s,
-            overdue_factor *
-            step.estimate_ms /
-            1000.0):
+    if elapsed_s < max(min_elapsed_s,
+                       overdue_factor * step.estimate_ms / 1000.0):
         return False
     expected_s = expected_duration_s(task)
     if elapsed_s < overdue_factor * expected_s:
         return False
     done_ratio = task.percent / 100.0
-    remaining_s = elapsed_s * (1.0 - done_ratio) / \
-        done_ratio if done_ratio else float("inf")
+    remaining_s = (elapsed_s * (1.0 - done_ratio) / done_ratio
+                   if done_ratio else float("inf"))
     return remaining_s > overdue_factor * expected_s
 
 
 def expected_duration_s(task: progress.TaskState) -> float:
-    """Return how long a run of a task should take, in seconds.
+    """Return the expected duration of a task's run, in seconds.
 
-    An estimate that is far too low would have each run stopped before it can
-    end, on any worker.  What the other tasks of the step take, and what its
-    own earlier run took, raises it.
+    With an estimate that is far too low, every run would be stopped before it
+    ends, on any worker.  The durations of the step's other tasks and of the
+    task's own earlier run therefore raise the estimate.
     """
     estimate_s = task.step.estimate_ms / 1000.0
     durations_s = [task.earlier_s]
--- a/sycamorefield/fleet/weights.py
+++ b/sycamorefield/fleet/weights.py
@@ -1,58 +1,59 @@
-"""Fit how much each filling image disturbs one serving image.
+"""Fit how much each best-effort image disturbs one serving image.
 
-A least-squares fit over samples of which older ones count less and less.
-Each sample has a few images of dozens, and hundreds of samples come in a
-second, so what a sample costs must not grow with the number of images: sums
-are touched only where the sample has images, all sums fade by one common
-factor, and the weights follow by sweeps that begin where the last one ended.
+A least-squares fit over samples whose weight decays with age.  Each sample
+contains a few of dozens of images, and hundreds of samples arrive per second,
+so the cost of a sample must not grow with the number of images: only the sums
+of its own images are updated, all sums decay by one common factor, and the
+weights result from Gauss-Seidel sweeps that continue from the last solution.
 """
 
 import dataclasses
 
-# Before anything is known, a filling core adds this much utilisation.
+# The utilisation assumed per core of a best-effort run before any samples.
 INITIAL_WEIGHT = 0.012
 MAX_WEIGHT = 0.15
-# How much a first weight counts, in squared cores seen: a few runs of three
-# cores over a few seconds outweigh it.
+# The strength of the prior for an initial weight, in squared cores observed.
+# A few runs of three cores over a few seconds outweigh it.
 PRIOR_STRENGTH = 60.0
-# Even the least disturbed task of several shows a little less than the
-# middle of them; this part belongs to no filling image.
+# The load is the minimum over several tasks, which is a little below their
+# median even without disturbance.  The intercept takes up this difference,
+# which belongs to no best-effort image.
 INTERCEPT_PRIOR_STRENGTH = 1.0
 INITIAL_INTERCEPT = 0.04
-# Share of what was seen that is kept at each sample of an image: half is
-# forgotten after some 700 samples.
+# The factor by which earlier samples of an image decay with each new one:
+# their weight is halved after about 700 samples.
 DECAY_FACTOR = 0.999
-# Weights are worked out again after this many samples of an image.
+# Weights are solved for again after this many samples of an image.
 SAMPLES_PER_FIT = 25
-# Sums change by 2% in so many samples, and one sweep takes off most of the
-# error of the last weights.
+# The sums change by 2% over SAMPLES_PER_FIT samples, and one sweep removes
+# most of the error of the last weights.
 SWEEPS_PER_FIT = 2
-# The common factor is put back into the sums before it outgrows a float.
+# The sums are rescaled before their common factor overflows a float.
 MAX_SCALE = 1e100
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BestEffortUsage:
-    """A filling run as a report shows it."""
+    """The image and CPU use of a best-effort run, as reported."""
 
     image: str
     cores: float
 
 
 class WeightFit:
-    """Hold sums for a least-squares fit of one serving image.
+    """Incremental least-squares fit for one serving image.
 
-    Row 0 stands for the part that belongs to no image.
+    Row 0 is the intercept, the part that belongs to no best-effort image.
     """
 
-    def __init__(self,
-                 initial_weights: dict[str,
-                                       float] | None = None) -> None:
-        # What a predecessor had learnt stands in for the first weights.
+    def __init__(self, initial_weights: dict[str, float] | None = None
+                 ) -> None:
+        # Weights learnt by a previous owner replace INITIAL_WEIGHT.
         self.initial_weights = initial_weights or {}
         self.weights: dict[str, float] = dict(self.initial_weights)
         self.rows: dict[str, int] = {}
-        # Sums of products and targets, times scale; each row by column.
+        # The normal equations, multiplied by scale: products by row and
+        # column, and targets by row.
         self.products: list[dict[int, float]] = [{0: INTERCEPT_PRIOR_STRENGTH}]
         self.targets: list[float] = [
             INTERCEPT_PRIOR_STRENGTH * INITIAL_INTERCEPT]
@@ -61,7 +62,7 @@
         self.samples = 0
 
     def add(self, disturbance: float, runs: list[BestEffortUsage]) -> None:
-        """Add one sample."""
+        """Add a sample: a task's disturbance and the runs next to it."""
         cores = {0: 1.0}
         for run in runs:
             row = self._row(run.image)
@@ -99,11 +100,11 @@
         self.scale = 1.0
 
     def solve(self, sweeps: int = SWEEPS_PER_FIT) -> None:
-        """Work out the weights by Gauss-Seidel sweeps.
+        """Update the weights by Gauss-Seidel sweeps.
 
-        The equations are positive definite, so sweeps come ever closer.  The
-        prior of an image never fades: a pair not seen for long must have
-        something to go by.
+        The equations are positive definite, so the sweeps converge.  The
+        prior of an image doesn't decay, so that the weight of a pair stays
+        defined when it has not been observed for long.
         """
         for _ in range(sweeps):
             self._solve_row(0, 0.0, 0.0)
@@ -114,17 +115,14 @@
             image: min(MAX_WEIGHT, max(0.0, self.solution[row]))
             for image, row in self.rows.items()})
 
-    def _solve_row(
-            self,
-            row: int,
-            prior: float,
-            initial_weight: float) -> None:
+    def _solve_row(self, row: int, prior: float,
+                   initial_weight: float) -> None:
         products = self.products[row]
         solution = self.solution
         other_terms = sum(
-            value * solution[column] for column,
-            value in products.items() if column != row)
+            value * solution[column]
+            for column, value in products.items() if column != row)
         solution[row] = (
-            ((self.targets[row] - other_terms) /
-             self.scale + prior * initial_weight)
+            ((self.targets[row] - other_terms) / self.scale
+             + prior * initial_weight)
             / (products[row] / self.scale + prior))
