--- a/sycamorefield/fleet/crashes.py
+++ b/sycamorefield/fleet/crashes.py
@@ -106,8 +106,8 @@
 def _record_crash(suspects: list[ExposedRun], worker_id: str,
                   in_quarantine: bool) -> None:
     """Record a crash with each task that may be its cause."""
-    just_started = [suspect for suspect in suspects
-                    if suspect.age_s < suspicion.STARTUP_WINDOW_S]
+    just_started = [exposed for exposed in suspects
+                    if exposed.age_s < suspicion.STARTUP_WINDOW_S]
     for suspect in suspects:
         task = suspect.task
         if task.suspicion is None:
--- a/sycamorefield/fleet/pacing.py
+++ b/sycamorefield/fleet/pacing.py
@@ -34,7 +34,7 @@
     image: str
     demand_cores: float
     used_cores: float
-    pace: int
+    pace_percent: int
 
 
 def reports_over_target(previous_count: int,
@@ -51,7 +51,7 @@
                model: interference.InterferenceModel) -> list[int]:
     """Return the next pace of each run, in percent (0 to 100).
 
-    A negative pace of a run stands for an unknown one.
+    The current pace of a run is negative if it is unknown.
     """
     over_ratio = [tail for tail in tails if tail.ratio >= THROTTLE_AT_RATIO
                   and tail.disturbance() >= interference.MIN_DISTURBANCE]
@@ -62,7 +62,7 @@
         return _throttle(over_ratio, runs, model)
     if may_raise:
         return _raise_paces(tails, runs, model)
-    return [run.pace for run in runs]
+    return [run.pace_percent for run in runs]
 
 
 def _throttle(tails: list[interference.TailLatency], runs: list[PacedRun],
@@ -73,7 +73,7 @@
     explain is attributed to all runs: fully used processors disturb every
     task alike.
     """
-    paces = [float(max(run.pace, 0)) for run in runs]
+    paces = [float(max(run.pace_percent, 0)) for run in runs]
     for tail in tails:
         excess = min(
             tail.disturbance(),
@@ -85,13 +85,13 @@
                     < interference.NEGLIGIBLE_UTILISATION):
                 break
             contribution = min(excess, contributions[i])
-            paces[i] = min(paces[i], max(runs[i].pace, 0)
+            paces[i] = min(paces[i], max(runs[i].pace_percent, 0)
                            * (1 - contribution / contributions[i]))
             excess -= contribution
         if excess > interference.MIN_DISTURBANCE and tail.ratio >= 1.0:
             kept_ratio = max(0.0, 1 - excess / tail.disturbance())
-            paces = [min(pace, max(run.pace, 0) * kept_ratio)
-                     for pace, run in zip(paces, runs)]
+            paces = [min(pace_percent, max(run.pace_percent, 0) * kept_ratio)
+                     for pace_percent, run in zip(paces, runs)]
     return [int(percent) if percent >= MIN_PACE_PERCENT else 0
             for percent in paces]
 
@@ -102,14 +102,14 @@
     paces = []
     expected_tails = [dataclasses.replace(tail) for tail in tails]
     for run in runs:
-        pace = run.pace
-        if 0 <= pace < 100:
-            raise_percent = min(MAX_RAISE_PERCENT, 100 - pace)
+        pace_percent = run.pace_percent
+        if 0 <= pace_percent < 100:
+            raise_percent = min(MAX_RAISE_PERCENT, 100 - pace_percent)
             cores = run.demand_cores * raise_percent / 100.0
             if model.keeps_tails_below(expected_tails, run.image, cores,
                                        TARGET_RATIO):
-                pace += raise_percent
+                pace_percent += raise_percent
                 model.add_expected_utilisation(expected_tails, run.image,
                                                cores)
-        paces.append(pace if pace >= 0 else MIN_PACE_PERCENT)
+        paces.append(pace_percent if pace_percent >= 0 else MIN_PACE_PERCENT)
     return paces
--- a/sycamorefield/fleet/weights.py
+++ b/sycamorefield/fleet/weights.py
@@ -51,7 +51,7 @@
         # Weights learnt by a previous owner replace INITIAL_WEIGHT.
         self.initial_weights = initial_weights or {}
         self.weights: dict[str, float] = dict(self.initial_weights)
-        self.rows: dict[str, int] = {}
+        self.row_by_image: dict[str, int] = {}
         # The normal equations, multiplied by scale: products by row and
         # column, and targets by row.
         self.products: list[dict[int, float]] = [{0: INTERCEPT_PRIOR_STRENGTH}]
@@ -81,9 +81,9 @@
             self.solve()
 
     def _row(self, image: str) -> int:
-        row = self.rows.get(image)
+        row = self.row_by_image.get(image)
         if row is None:
-            row = self.rows[image] = len(self.products)
+            row = self.row_by_image[image] = len(self.products)
             self.products.append({row: 0.0})
             self.targets.append(0.0)
             self.solution.append(self._initial_weight(image))
@@ -108,12 +108,12 @@
         """
         for _ in range(sweeps):
             self._solve_row(0, 0.0, 0.0)
-            for image, row in self.rows.items():
+            for image, row in self.row_by_image.items():
                 self._solve_row(row, PRIOR_STRENGTH,
                                 self._initial_weight(image))
         self.weights.update({
             image: min(MAX_WEIGHT, max(0.0, self.solution[row]))
-            for image, row in self.rows.items()})
+            for image, row in self.row_by_image.items()})
 
     def _solve_row(self, row: int, prior: float,
                    initial_weight: float) -> None:
--- a/tests/test_fleet_interference.py
+++ b/tests/test_fleet_interference.py
@@ -135,17 +135,17 @@
     assert too_low <= 0.1 * len(forecast)
 
 
-@pytest.mark.parametrize(("slope", "least", "most"), [
+@pytest.mark.parametrize(("slope", "minimum", "maximum"), [
     (0.1, 0.10, interference.MAX_LOAD_RISE),
     (0.0, 0.0, 0.08),
     (-0.1, 0.0, interference.MIN_LOAD_RISE),
 ], ids=["rising", "flat", "falling"])
-def test_expected_rise_follows_recent_slope(slope, least, most):
+def test_expected_rise_follows_recent_slope(slope, minimum, maximum):
     load = interference.StepLoad()
     for n in range(40):
         now = n * 0.1
         load.add_sample(("w", n % TASKS), 0.4 + slope * now, now)
-    assert least <= load.max_rise() <= most
+    assert minimum <= load.max_rise() <= maximum
 
 
 def test_short_load_history_allows_the_maximum_rise():
--- a/tests/test_fleet_stragglers.py
+++ b/tests/test_fleet_stragglers.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(
-    ("estimate", "elapsed", "percent", "options", "stuck"), [
+    ("estimate_ms", "elapsed_s", "percent", "options", "stuck"), [
         (1000, 1.4, 0, {}, False),
         (1000, 1.6, 0, {}, True),
         (1000, 1.6, 40, {}, True),
@@ -25,13 +25,13 @@
         (0, 9.0, 0, {}, False),
     ])
 def test_stuck_runs_are_distinguished_from_slow_ones(
-        estimate, elapsed, percent, options, stuck):
+        estimate_ms, elapsed_s, percent, options, stuck):
     task = progress.TaskState(messages.TaskId("j", 0, 0, 0), messages.Step(
-        1, RESOURCES, estimate, **options))
+        1, RESOURCES, estimate_ms, **options))
     task.phase = progress.RUNNING
     task.started = 100.0
     task.percent = percent
-    assert stragglers.is_stuck(task, 100.0 + elapsed) is stuck
+    assert stragglers.is_stuck(task, 100.0 + elapsed_s) is stuck
 
 
 def test_tasks_move_off_a_hanging_worker():
@@ -74,9 +74,9 @@
             task_count, messages.Room(4000, 10), estimate_ms)))
 
     def place(self) -> None:
-        before = len(self.bench.orders)
+        previous_order_count = len(self.bench.orders)
         self.bench.place()
-        for worker_id, order in self.bench.orders[before:]:
+        for worker_id, order in self.bench.orders[previous_order_count:]:
             runs = self.started_at.setdefault(worker_id, {})
             if isinstance(order, messages.StartOrder):
                 self.starts += 1
@@ -94,15 +94,15 @@
 
     def advance(self) -> None:
         for worker_id, runs in self.started_at.items():
-            needed = self.run_s * (self.first_worker_slowdown
-                                   if worker_id == "i-0" else 1.0)
+            required_s = self.run_s * (self.first_worker_slowdown
+                                       if worker_id == "i-0" else 1.0)
             for run, start_time in list(runs.items()):
-                done = (self.bench.now - start_time) / needed
-                if done >= 1.0:
+                done_ratio = (self.bench.now - start_time) / required_s
+                if done_ratio >= 1.0:
                     self.end(worker_id, run, messages.DONE)
                 else:
                     self.bench.report(worker_id, [messages.RunningTask(
-                        *run, "", int(100 * done))])
+                        *run, "", int(100 * done_ratio))])
 
 
 @pytest.mark.parametrize(
