--- a/sycamorefield/fleet/answers.py
+++ b/sycamorefield/fleet/answers.py
@@ -75,7 +75,7 @@
         if reason == interfaces.NO_CAPACITY:
             worker.avoid_until = now + NO_CAPACITY_PAUSE_S
         elif reason == interfaces.INVALID_TICKET:
-            fleet.advice.drop(task.task.step_id(), worker_id)
+            fleet.advice.discard_ticket(task.task.step_id(), worker_id)
         elif reason == interfaces.UNHEALTHY:
             worker.avoid_until = now + UNHEALTHY_PAUSE_S
         elif reason == interfaces.STALE_RUN:
--- a/sycamorefield/fleet/crashes.py
+++ b/sycamorefield/fleet/crashes.py
@@ -1,4 +1,4 @@
-"""Tell crashes of workers from other ends, and whom to suspect of them."""
+"""Distinguish worker crashes from other ends and record suspected tasks."""
 
 import dataclasses
 import enum
@@ -11,53 +11,59 @@
 from sycamorefield.fleet import suspicion
 from sycamorefield.fleet import workerstate
 
-# The end of a crashed worker shows this soon after its last answer, or when it
-# is born again; one that was cut off for longer may have ended meanwhile.
-SILENT_AT_MOST_S = 1.5
-# Workers of a rack that end within this share a cause; the ends of those that
-# do are noticed within the shorter time.
-RACK_WINDOW_S = 2.0
-RACK_SPREAD_S = 0.25
-# Of so many runs that had just begun each is likely enough the cause to be
-# tried at once; of more only those under which another worker crashes.
-FEW_RUNS = 3
+# The end of a crashed worker is noticed within this time of its last answer,
+# or when it restarts.  A worker that was unreachable for longer may have ended
+# for another reason in the meantime.
+MAX_UNRESPONSIVE_S = 1.5
+# Workers of a rack that end within the longer window are taken to have failed
+# for one reason.  Ends with a common cause are noticed at most the shorter
+# window apart, which therefore applies however recent the run is.
+MAX_RACK_FAILURE_WINDOW_S = 2.0
+MIN_RACK_FAILURE_WINDOW_S = 0.25
+# If a crash hits at most this many runs that had just started, each is likely
+# enough the cause to be quarantined at once.  Of more runs, only those whose
+# next worker crashes as well are quarantined.
+MAX_LIKELY_CAUSES = 3
 
 
 class Verdict(enum.Enum):
-    """Say what the end of a worker tells of what ran there."""
+    """Classify the end of a worker as evidence against its runs."""
 
     CRASH = "crash"
     DRAINED = "was draining"
     UNLISTED = "was never listed"
-    OLD_LIST = "list is too old to show a drain"
-    DARK = "was silent for long"
-    NOBODY = "no young run, or its rack failed"
+    STALE_LIST = "worker list too old to show a drain"
+    UNRESPONSIVE = "was unresponsive for too long"
+    NO_SUSPECT = "no recently started run, or its rack failed"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Exposed:
-    """Hold a task whose run was on a worker that ended, and the run's age."""
+class ExposedRun:
+    """A task with a run on a worker that ended, and the age of the run."""
 
     task: progress.TaskState
     run: int
     age_s: float
 
 
-def worker_reborn(fleet: state_mod.FleetState, worker_id: str) -> None:
-    """Note that another incarnation answers at a worker's address."""
-    _worker_dead(fleet, worker_id, "reborn", reborn=True)
+def worker_restarted(fleet: state_mod.FleetState, worker_id: str) -> None:
+    """Handle an answer by another incarnation at a worker's address."""
+    _handle_worker_end(fleet, worker_id, "reborn", restarted=True)
 
 
-def worker_refuses(fleet: state_mod.FleetState, worker_id: str) -> None:
-    """Note that a worker's address refuses connections."""
-    _worker_dead(fleet, worker_id, "nobody listens there", reborn=False)
+def worker_refused_connection(fleet: state_mod.FleetState,
+                              worker_id: str) -> None:
+    """Handle a refused connection at a worker's address."""
+    _handle_worker_end(fleet, worker_id, "connection refused",
+                       restarted=False)
 
 
-def _worker_dead(fleet: state_mod.FleetState, worker_id: str, reason: str,
-                 reborn: bool) -> None:
+def _handle_worker_end(fleet: state_mod.FleetState, worker_id: str,
+                       reason: str, restarted: bool) -> None:
     with fleet.lock:
         worker = fleet.workers.get(worker_id)
-        suspects = [] if worker is None else _suspects(fleet, worker, reborn)
+        suspects = [] if worker is None else _record_suspects(
+            fleet, worker, restarted)
         fleet.mark_dead(worker_id, reason)
         for suspect in suspects:
             if suspect.task.job is not None:
@@ -66,108 +72,125 @@
                 fleet.update_job_state(suspect.task.job)
 
 
-def _suspects(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
-              reborn: bool) -> list[Exposed]:
-    """Return the tasks that a crash is held against, having noted it."""
+def _record_suspects(fleet: state_mod.FleetState,
+                     worker: workerstate.WorkerState,
+                     restarted: bool) -> list[ExposedRun]:
+    """Record a crash with each suspected task and return these tasks."""
     now = clock.now()
-    at = worker.unresponsive_since if worker.unresponsive else now
-    on_trial = fleet.trials.on(worker.entry.worker_id)
-    exposed = _exposed(fleet, worker, at)
-    tried = [e for e in exposed if e.task in on_trial]
-    if not exposed:
+    ended_at = worker.unresponsive_since if worker.unresponsive else now
+    quarantined_tasks = fleet.trials.tasks_on(worker.entry.worker_id)
+    exposed_runs = _find_exposed_runs(fleet, worker, ended_at)
+    quarantined_runs = [exposed for exposed in exposed_runs
+                        if exposed.task in quarantined_tasks]
+    if not exposed_runs:
         return []
-    verdict = _verdict(fleet, worker, at, now, reborn)
+    verdict = _classify_end(fleet, worker, ended_at, now, restarted)
     suspects = []
     if verdict is Verdict.CRASH:
-        suspects = [e for e in tried or _young(exposed)
-                    if not _rack_failed(fleet, worker.entry, at, e.age_s)]
+        suspects = [exposed for exposed
+                    in quarantined_runs or _possible_causes(exposed_runs)
+                    if not _rack_failed(fleet, worker.entry, ended_at,
+                                        exposed.age_s)]
         if not suspects:
-            verdict = Verdict.NOBODY
-        _note(suspects, worker.entry.worker_id, bool(tried))
+            verdict = Verdict.NO_SUSPECT
+        _record_crash(suspects, worker.entry.worker_id, bool(quarantined_runs))
     events.emit(events.WORKER_CRASHED, worker=worker.entry.worker_id,
                 verdict=verdict.value, rack=worker.entry.rack(),
-                trial=bool(tried), runs=[
-                    (str(e.task.task), e.run, round(e.age_s, 3))
-                    for e in suspects])
+                trial=bool(quarantined_runs), runs=[
+                    (str(exposed.task.task), exposed.run,
+                     round(exposed.age_s, 3))
+                    for exposed in suspects])
     return suspects
 
 
-def _note(suspects: list[Exposed], worker_id: str, in_trial: bool) -> None:
-    """Note a crash with each task that may be its cause."""
-    began = [s for s in suspects if s.age_s < suspicion.AT_START_S]
+def _record_crash(suspects: list[ExposedRun], worker_id: str,
+                  in_quarantine: bool) -> None:
+    """Record a crash with each task that may be its cause."""
+    just_started = [exposed for exposed in suspects
+                    if exposed.age_s < suspicion.STARTUP_WINDOW_S]
     for suspect in suspects:
         task = suspect.task
         if task.suspicion is None:
             task.suspicion = suspicion.Suspicion()
-        likely = suspect in began and len(began) <= FEW_RUNS
-        task.suspicion.add(worker_id, suspect.age_s, likely, in_trial)
-
-
-def _young(exposed: list[Exposed]) -> list[Exposed]:
-    """Return the tasks that may be the cause; forget what others did."""
-    young = []
-    for one in exposed:
-        if one.age_s < suspicion.HARMLESS_AFTER_S:
-            young.append(one)
+        likely = (suspect in just_started
+                  and len(just_started) <= MAX_LIKELY_CAUSES)
+        task.suspicion.add_crash(worker_id, suspect.age_s, likely,
+                                 in_quarantine)
+
+
+def _possible_causes(exposed_runs: list[ExposedRun]) -> list[ExposedRun]:
+    """Return the runs that may be the cause and clear all other tasks."""
+    possible_causes = []
+    for exposed in exposed_runs:
+        if exposed.age_s < suspicion.MAX_SUSPECT_AGE_S:
+            possible_causes.append(exposed)
         else:
-            one.task.suspicion = None
-    return young
+            exposed.task.suspicion = None
+    return possible_causes
 
 
-def _exposed(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
-             at: float) -> list[Exposed]:
-    """Return the tasks that may have been at work when a worker ended."""
+def _find_exposed_runs(fleet: state_mod.FleetState,
+                       worker: workerstate.WorkerState,
+                       ended_at: float) -> list[ExposedRun]:
+    """Return the runs that may have been executing as a worker ended."""
     found = []
-    for (name, run), task in worker.tasks.items():
-        begun = (name, run) not in worker.unsent_starts | worker.refused_starts
-        if begun and fleet.is_current(worker, task, run):
-            # A start without an answer may have been carried out just then.
-            age_s = max(0.0, at - task.started_at) if task.started_at else 0.0
-            found.append(Exposed(task, run, age_s))
+    for (task_id, run), task in worker.tasks.items():
+        may_have_started = (
+            (task_id, run) not in worker.unsent_starts | worker.refused_starts)
+        if may_have_started and fleet.is_current(worker, task, run):
+            # An unacknowledged start may have been executed at that moment.
+            age_s = max(0.0, ended_at -
+                        task.started_at) if task.started_at else 0.0
+            found.append(ExposedRun(task, run, age_s))
     if worker.has_reported:
         return found
-    # An earlier owner set the worker aside for these.
-    here = {one.task for one in found}
-    return found + [Exposed(task, task.last_run, _usual_age_s(task))
-                    for task in fleet.trials.on(worker.entry.worker_id)
-                    if task not in here and task.phase == progress.IDLE]
+    # A previous owner quarantined these tasks on the worker and may have
+    # started them.
+    found_tasks = {exposed.task for exposed in found}
+    return found + [ExposedRun(task, task.last_run, _last_crash_age_s(task))
+                    for task in fleet.trials.tasks_on(worker.entry.worker_id)
+                    if task not in found_tasks and task.phase == progress.IDLE]
 
 
-def _usual_age_s(task: progress.TaskState) -> float:
-    """Return how old runs of a task were at its last crash, or 0."""
+def _last_crash_age_s(task: progress.TaskState) -> float:
+    """Return the age of a task's run at its last crash, or 0."""
     ages_s = task.suspicion.ages_s if task.suspicion is not None else []
     return ages_s[-1] if ages_s else 0.0
 
 
-def _verdict(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
-             at: float, now: float, reborn: bool) -> Verdict:
+def _classify_end(fleet: state_mod.FleetState, worker: workerstate.WorkerState,
+                  ended_at: float, now: float, restarted: bool) -> Verdict:
     if worker.entry.draining:
         return Verdict.DRAINED
     if not (worker.listed or worker.ever_listed):
         return Verdict.UNLISTED
-    if not fleet.would_show_drain(at, now):
-        return Verdict.OLD_LIST
-    if now - at > SILENT_AT_MOST_S and not reborn:
-        return Verdict.DARK
+    if not fleet.would_show_drain(ended_at, now):
+        return Verdict.STALE_LIST
+    if now - ended_at > MAX_UNRESPONSIVE_S and not restarted:
+        return Verdict.UNRESPONSIVE
     return Verdict.CRASH
 
 
 def _rack_failed(fleet: state_mod.FleetState, entry: messages.WorkerEntry,
-                 at: float, age_s: float) -> bool:
-    """Tell whether most other workers of a rack ended while a run was there.
+                 ended_at: float, age_s: float) -> bool:
+    """Return whether most other workers of a rack ended during a run.
 
-    A task can take one worker after the other, but not most of a rack at
-    once; one that was started after the others were lost is not excused.
+    A task can crash one worker after another, but not most of a rack at
+    once.  A task that started after the others were lost stays suspect.
     """
     rack = entry.rack()
     if not rack:
         return False
-    since = at - max(RACK_SPREAD_S, min(RACK_WINDOW_S, age_s))
-    mates = [w for w in fleet.workers.values()
-             if w.entry.rack() == rack and not w.entry.draining
-             and w.entry.worker_id != entry.worker_id]
-    lost = sum(w.unresponsive and w.unresponsive_since >= since for w in mates)
-    lost += sum(ended.rack == rack and ended.at >= since
-                for ended in fleet.recent_failures)
-    fine = sum(w.has_reported and not w.unresponsive for w in mates)
-    return lost > fine
+    window_start = ended_at - max(
+        MIN_RACK_FAILURE_WINDOW_S, min(MAX_RACK_FAILURE_WINDOW_S, age_s))
+    rack_peers = [w for w in fleet.workers.values()
+                  if w.entry.rack() == rack and not w.entry.draining
+                  and w.entry.worker_id != entry.worker_id]
+    lost_count = sum(w.unresponsive and w.unresponsive_since >= window_start
+                     for w in rack_peers)
+    lost_count += sum(
+        ended_worker.rack == rack and ended_worker.at >= window_start
+        for ended_worker in fleet.recent_failures)
+    responsive_count = sum(
+        w.has_reported and not w.unresponsive for w in rack_peers)
+    return lost_count > responsive_count
--- a/sycamorefield/fleet/link.py
+++ b/sycamorefield/fleet/link.py
@@ -158,7 +158,7 @@
                 return 0
             if self.fleet.store_unreachable:
                 return NEAR_TARGET_WAIT_MS
-            if self.fleet.trials.on(self.worker_id):
+            if self.fleet.trials.tasks_on(self.worker_id):
                 return QUARANTINE_WAIT_MS
             if worker.target_runs and worker.best_effort_cpu:
                 worst = max(
@@ -176,7 +176,7 @@
                     self.fleet.fence, self.recorded_upto, self._lease_end_ms(),
                     self._report_wait_ms())
             except interfaces.IncarnationMismatch:
-                crashes.worker_reborn(self.fleet, self.worker_id)
+                crashes.worker_restarted(self.fleet, self.worker_id)
                 return
             except interfaces.OrderRejected as exc:
                 if self._check_fenced(exc):
@@ -209,7 +209,7 @@
         self.refusals += 1
         if (self.refusals >= REFUSALS_UNTIL_DEAD
                 and self.fleet.has_listened(self.worker_id)):
-            crashes.worker_refuses(self.fleet, self.worker_id)
+            crashes.worker_refused_connection(self.fleet, self.worker_id)
             return True
         self._handle_failure(exc)
         return False
@@ -238,7 +238,7 @@
             try:
                 self._send(order)
             except interfaces.IncarnationMismatch:
-                crashes.worker_reborn(self.fleet, self.worker_id)
+                crashes.worker_restarted(self.fleet, self.worker_id)
                 return
 
     def _send(self, order: state_mod.Order) -> None:
--- a/sycamorefield/fleet/placing.py
+++ b/sycamorefield/fleet/placing.py
@@ -53,7 +53,7 @@
 
 
 def fits(worker: workerstate.WorkerState, step: messages.Step,
-         model: interference.Interference) -> bool:
+         model: interference.InterferenceModel) -> bool:
     """Return whether a worker has the capacity and accepts starts now."""
     if not worker.accepts_starts():
         return False
@@ -62,16 +62,16 @@
         return False
     if not worker.free_capacity().holds(step.reserved()):
         return False
-    if not step.fills or not model.limits:
+    if not step.fills or not model.limit_tails:
         return True
     cores = step.room.cpu / 1000.0
-    return model.stays_below(worker.tail_latencies, step.image, cores,
-                             MAX_TAIL_LATENCY_RATIO)
+    return model.keeps_tails_below(worker.tail_latencies, step.image, cores,
+                                   MAX_TAIL_LATENCY_RATIO)
 
 
 def choose(task: progress.TaskState, service: str,
            workers: typing.Iterable[workerstate.WorkerState],
-           model: interference.Interference
+           model: interference.InterferenceModel
            ) -> workerstate.WorkerState | None:
     """Return the best worker for a task, or None if it fits on none.
 
@@ -91,7 +91,7 @@
 
 
 def _rank(worker: workerstate.WorkerState, task: progress.TaskState,
-          service: str, model: interference.Interference) -> Rank | None:
+          service: str, model: interference.InterferenceModel) -> Rank | None:
     """Rank a worker for a task (higher is better); None if it can't run."""
     step = task.step
     if not allowed(worker, service, task) or not fits(worker, step, model):
@@ -113,7 +113,7 @@
 
     def __init__(self, task: progress.TaskState, service: str,
                  workers: typing.Iterable[workerstate.WorkerState],
-                 model: interference.Interference) -> None:
+                 model: interference.InterferenceModel) -> None:
         self.task = task
         self.service = service
         self.model = model
@@ -152,10 +152,10 @@
 
 
 def _packing_rank(worker: workerstate.WorkerState, step: messages.Step,
-                  model: interference.Interference) -> tuple[float, ...]:
+                  model: interference.InterferenceModel) -> tuple[float, ...]:
     if step.fills:
-        harm = model.harm(worker.tail_latencies, step.image)
-        return (-round(harm / NEGLIGIBLE_HARM),
+        total_weight = model.total_weight(worker.tail_latencies, step.image)
+        return (-round(total_weight / NEGLIGIBLE_HARM),
                 available_best_effort_cpu(worker))
     if step.target_ms:
         # Place tasks of one image together: a best-effort image that disturbs
--- a/sycamorefield/fleet/progress.py
+++ b/sycamorefield/fleet/progress.py
@@ -68,9 +68,10 @@
         # Crashes of workers that may have been caused by the task, if any.
         self.suspicion: suspicion.Suspicion | None = None
 
-    def needs_trial(self) -> bool:
+    def needs_quarantine_run(self) -> bool:
         """Return whether the next run must be a quarantine run."""
-        return self.suspicion is not None and self.suspicion.needs_trial()
+        return (self.suspicion is not None
+                and self.suspicion.needs_quarantine_run())
 
     def update_progress(self, percent: int, now: float) -> None:
         """Record the progress of the current run."""
@@ -264,7 +265,7 @@
         for task in self.all_tasks():
             if task.done:
                 continue
-            if task.suspicion is not None and task.suspicion.is_proved():
+            if task.suspicion is not None and task.suspicion.is_confirmed():
                 workers = ", ".join(task.suspicion.workers)
                 return (f"task {_short_name(task.task)} crashed the workers "
                         f"that started it: {workers}")
--- a/sycamorefield/fleet/recovery.py
+++ b/sycamorefield/fleet/recovery.py
@@ -94,7 +94,7 @@
         if state.final():
             self.fleet.deactivate_job(state)
         else:
-            self.fleet.trials.inherit(state, clock.now())
+            self.fleet.trials.restore(state, clock.now())
 
     def _take_learnt(self, item: messages.Item) -> None:
         self.recorder.revisions[records.WEIGHTS_KEY] = item.revision
--- a/sycamorefield/fleet/reports.py
+++ b/sycamorefield/fleet/reports.py
@@ -5,8 +5,8 @@
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import pacer
 from sycamorefield.fleet import progress
-from sycamorefield.fleet import slowness
 from sycamorefield.fleet import state as state_mod
+from sycamorefield.fleet import stragglers
 from sycamorefield.fleet import workerstate
 
 # Minimum delay before a failed long-running task is restarted, so that one
@@ -60,8 +60,8 @@
             needs_round |= _release_missing(fleet, worker, report, sent_at)
             worker.has_reported = True
             fleet.awaited_workers.pop(worker_id, None)
-        fleet.pacer.take(worker, report, now)
-        worker.has_stalled_run = any(pacer.stalls(task)
+        fleet.pacer.process_report(worker, report, now)
+        worker.has_stalled_run = any(pacer.is_stalled(task)
                                      for task in worker.tasks.values())
         worker.record_change()
         if needs_round or new_ends:
@@ -147,7 +147,7 @@
             task.update_progress(row.percent, now)
         if row.saved:
             task.saved = row.saved
-        if not task.stuck and slowness.stuck(task, now):
+        if not task.stuck and stragglers.is_stuck(task, now):
             task.stuck = True
             _mark_stuck(fleet, worker, task, now)
         if task.phase == progress.STARTING:
@@ -168,7 +168,7 @@
     """Avoid a worker for a stuck task, and for all if several are stuck."""
     task.avoided_workers.add(worker.entry.worker_id)
     stuck = sum(1 for other in worker.tasks.values() if other.stuck)
-    if stuck >= slowness.STUCK_TASKS and worker.avoid_until <= now:
+    if stuck >= stragglers.MIN_STUCK_TASKS and worker.avoid_until <= now:
         worker.avoid_until = now + workerstate.AVOID_S
         events.emit(events.WORKER_AVOIDED, stuck=stuck,
                     worker=worker.entry.worker_id)
--- a/sycamorefield/fleet/rounds.py
+++ b/sycamorefield/fleet/rounds.py
@@ -12,15 +12,15 @@
 from sycamorefield.fleet import placement_cache
 from sycamorefield.fleet import placing
 from sycamorefield.fleet import progress
+from sycamorefield.fleet import quarantines
 from sycamorefield.fleet import reservations
 from sycamorefield.fleet import state as state_mod
-from sycamorefield.fleet import trials
 from sycamorefield.fleet import workerstate
 
-# A best-effort run throttled to pacer.STALLED_PACE for this long is moved to a
-# worker where it is expected to disturb no other task, if there is one.  A
-# move loses the progress made so far: moving sooner loses more work than it
-# saves.
+# A best-effort run throttled to pacer.STALLED_PACE_PERCENT for this long is
+# moved to a worker where it is expected to disturb no other task, if there is
+# one.  A move loses the progress made so far: moving sooner loses more work
+# than it saves.
 MOVE_STALLED_AFTER_S = 1.0
 
 
@@ -98,7 +98,8 @@
             return bool(waiting)
         step = state.job.steps[number]
         eligible = self._eligible_workers(state, startable[0])
-        suspected = [t for t in startable if t.suspicion and t.needs_trial()]
+        suspected = [
+            t for t in startable if t.suspicion and t.needs_quarantine_run()]
         if suspected:
             self._place_suspected(state, tasks, startable, suspected, eligible)
         elif step.gang:
@@ -120,7 +121,7 @@
         by_free_cpu = sorted((w for w in self.usable_workers
                               if w.entry.service == eligible.service),
                              key=lambda w: -w.free_capacity().cpu)
-        self.fleet.advice.want(
+        self.fleet.advice.request_advice(
             unplaced[0].task.step_id(),
             (w.entry.worker_id for w in by_free_cpu), queue.advice, self.now)
 
@@ -131,7 +132,8 @@
         service = queue.service if queue else state.job.service
         if queue is None or queue.advice is None:
             return EligibleWorkers(service, self.usable_workers)
-        tickets = self.fleet.advice.valid(task.task.step_id(), self.now)
+        tickets = self.fleet.advice.valid_tickets(
+            task.task.step_id(), self.now)
         return EligibleWorkers(
             service, [w for w in self.usable_workers
                       if w.entry.worker_id in tickets], tickets)
@@ -376,17 +378,18 @@
             self._quarantine_workers(state, tasks, eligible)
             return
         workers = self.fleet.workers
-        if quarantine.run or quarantine.inherited:
+        if quarantine.run or quarantine.restored:
             return
-        if not trials.is_ready(quarantine, workers, self.now):
+        if not quarantines.is_ready(quarantine, workers, self.now):
             return
-        if not trials.fits(quarantine, workers, eligible.service,
-                           eligible.tickets):
-            self.fleet.trials.remove(quarantine, "does not fit or not allowed")
+        if not quarantines.fits(quarantine, workers, eligible.service,
+                                eligible.tickets):
+            self.fleet.trials.release(
+                quarantine, "does not fit or not allowed")
             return
         self._start_quarantine_run(quarantine, eligible)
 
-    def _start_quarantine_run(self, quarantine: trials.Trial,
+    def _start_quarantine_run(self, quarantine: quarantines.Quarantine,
                               eligible: EligibleWorkers) -> None:
         state = quarantine.job
         quarantine.run = max(state.next_run_number(task)
@@ -405,7 +408,7 @@
                             tasks: list[progress.TaskState],
                             eligible: EligibleWorkers) -> None:
         """Quarantine workers: only the given tasks may start there."""
-        if not self.fleet.trials.may_add(self.worker_count):
+        if not self.fleet.trials.can_add(self.worker_count):
             return
         chosen = self._choose_quarantine_workers(tasks, eligible)
         if not chosen and not tasks[0].step.gang:
@@ -415,7 +418,7 @@
             return
         members = [(task, worker.entry.worker_id)
                    for task, worker in zip(tasks, chosen)]
-        self.fleet.trials.add(trials.Trial(state, members, self.now))
+        self.fleet.trials.add(quarantines.Quarantine(state, members, self.now))
         state.dirty = self.fleet.commit_requested = True
         for worker in chosen:
             self.freeing.discard(worker)
@@ -426,7 +429,8 @@
                                    ) -> list[workerstate.WorkerState]:
         """Return workers to quarantine, preferably without recent starts."""
         without_recent_starts = [worker for worker in eligible.workers
-                                 if not trials.has_young_run(worker, self.now)]
+                                 if not quarantines.has_recent_start(
+                                     worker, self.now)]
         for workers in (without_recent_starts, eligible.workers):
             if tasks[0].step.gang:
                 chosen = gangs.choose(tasks, eligible.service, workers)
@@ -478,7 +482,7 @@
     def _is_stalled(self, task: progress.TaskState) -> bool:
         if task.phase != progress.RUNNING or task.step.gang:
             return False
-        return pacer.stalls(task) and (
+        return pacer.is_stalled(task) and (
             task.stuck or self.now - task.slowed_at >= MOVE_STALLED_AFTER_S)
 
     def _preempt_for(self, state: progress.JobState,
@@ -527,7 +531,7 @@
     with fleet.lock:
         fleet.round_needed = False
         fleet.demand.start_observing(now)
-        fleet.trials.review(fleet.workers, now)
+        fleet.trials.release_finished(fleet.workers, now)
         configuration = fleet.configuration()
         queues = configuration.queues_by_name()
         if configuration.version != fleet.placed_config_version:
--- a/sycamorefield/fleet/state.py
+++ b/sycamorefield/fleet/state.py
@@ -21,8 +21,8 @@
 from sycamorefield.fleet import placement_cache
 from sycamorefield.fleet import policy as policy_mod
 from sycamorefield.fleet import progress
+from sycamorefield.fleet import quarantines
 from sycamorefield.fleet import runlog
-from sycamorefield.fleet import trials
 from sycamorefield.fleet import workerstate
 
 Order = messages.StartOrder | messages.StopOrder | messages.PaceOrder
@@ -83,20 +83,20 @@
         # often enough not to miss a draining worker.
         self.list_read_at = math.inf
         self.drains_visible_since = -math.inf
-        self.trials = trials.Trials()
+        self.trials = quarantines.Quarantines()
         # Whether the store has been unreachable for longer than the owner's
         # lease, so that a successor may exist.
         self.store_unreachable = False
         # Until when this owner certainly holds its lease, by clock.now().
         self.owner_lease_until = math.inf
-        self.interference_model = interference.Interference(
+        self.interference_model = interference.InterferenceModel(
             policy.learn_weights, policy.limit_tails, policy.follow_slopes)
         self.demand = demand.DemandEstimator()
         self.pacer = pacer.Pacer(
             self.interference_model, send, policy.pace_filling)
         self.run_log = runlog.RunLog()
-        self.advice = advice.AdviceBook(None)
-        self.advice.answered = self._advice_arrived
+        self.advice = advice.AdviceCache(None)
+        self.advice.on_answer = self._advice_arrived
         # Requests that fitted on no worker, and requests for which no runs
         # could be preempted.
         self.placement_misses = placement_cache.SearchCache()
@@ -159,7 +159,7 @@
         events.emit(events.JOB_ENDED, job=state.job.job_id,
                     state=state.state, reason=state.reason)
         self.active.pop(state.job.job_id, None)
-        self.advice.forget(state.job.job_id)
+        self.advice.forget_job(state.job.job_id)
         self.commit_requested = True
         for task in state.all_tasks():
             if task.phase in (progress.STARTING, progress.RUNNING):
@@ -467,7 +467,7 @@
             task.task, run, state.job.spec, task.saved, ticket))
         if task.step.fills:
             cores = task.step.room.cpu / 1000.0
-            self.interference_model.expect(
+            self.interference_model.add_expected_utilisation(
                 worker.tail_latencies, task.step.image, cores)
 
     def _advice_arrived(self) -> None:
--- a/sycamorefield/fleet/workerstate.py
+++ b/sycamorefield/fleet/workerstate.py
@@ -82,7 +82,7 @@
         # CPU requested by best-effort runs, and reserved by long-running ones.
         self.best_effort_cpu = 0
         self.long_running_cpu = 0
-        self.tail_latencies: list[interference.Tail] = []
+        self.tail_latencies: list[interference.TailLatency] = []
         # CPU that runs with a latency target reserve but do not use.
         self.unused_cpu = 0.0
         # Consecutive reports with a tail latency above its target.
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -204,12 +204,12 @@
     thread = threading.Thread(target=link._send_orders)
     thread.start()
     for _ in range(500):
-        if worker.over:
+        if worker.ended_run:
             break
         time.sleep(0.01)
     link.close()
     thread.join(5)
-    assert worker.over == {task.task: task.run}
+    assert worker.ended_run == {task.task: task.run}
 
 
 def test_unacknowledged_stop_does_not_delay_other_orders(bench):
