--- a/sycamorefield/fleet/operatorview.py
+++ b/sycamorefield/fleet/controlwatcher.py
@@ -11,82 +11,82 @@
 
 # A watch may go deaf before it is cut.  The list is read again, linearizably,
 # after each cut, so a change is seen at most this long after it was made.
-WATCH_MS = 1000
+WATCH_WAIT_MS = 1000
 RETRY_PAUSE_S = 0.1
 
-Decode = typing.Callable[[bytes], messages.Configuration]
+DecodeConfiguration = typing.Callable[[bytes], messages.Configuration]
 
 
-class OperatorView:
+class ControlWatcher:
     """Hold the newest configuration and the owner's key, as last seen."""
 
     def __init__(self, store: surroundings.Store, config_key: str,
-                 decode: Decode) -> None:
+                 decode: DecodeConfiguration) -> None:
         self.store = store
         self.config_key = config_key
         self.decode = decode
-        self.current = messages.Configuration()
+        self.latest_configuration = messages.Configuration()
         self.config_revision = 0
-        self.known = False
-        self.owner: messages.Item | None = None
+        self.configuration_known = False
+        self.owner_item: messages.Item | None = None
         self.owner_known = False
         # The owner's key is known as of this revision.
         self.owner_revision = 0
-        self.answered_at = 0.0
-        self.reachable = True
-        self.changed = threading.Condition()
+        self.last_answer_at = 0.0
+        self.store_reachable = True
+        self.owner_changed = threading.Condition()
         self.stopped = threading.Event()
 
     def configuration(self) -> messages.Configuration:
         """Return the newest configuration seen."""
-        return self.current
+        return self.latest_configuration
 
     def run(self) -> None:
         """Follow until stopped: list, then watch, then list again."""
         while not self.stopped.is_set():
             try:
-                self._follow(self._read())
+                self._watch_changes(self._list_keys())
             except surroundings.HistoryGone:
                 continue
             except surroundings.CallFailed as exc:
-                self._lost(str(exc))
+                self._note_store_lost(str(exc))
                 self.stopped.wait(RETRY_PAUSE_S)
 
-    def _read(self) -> int:
+    def _list_keys(self) -> int:
         listing = self.store.listing(records.WATCHED_PREFIX)
-        self._answered()
+        self._note_store_answered()
         present = {item.key: item for item in listing.items}
         for item in listing.items:
-            self._apply(item.key, item)
+            self._apply_configuration(item.key, item)
         self._set_owner(present.get(records.OWNER_KEY), listing.revision)
         return listing.revision
 
-    def _follow(self, revision: int) -> None:
+    def _watch_changes(self, revision: int) -> None:
         while not self.stopped.is_set():
-            found = self.store.watch(records.WATCHED_PREFIX, revision,
-                                     WATCH_MS)
-            self._answered()
-            for change in found.changes:
+            response = self.store.watch(records.WATCHED_PREFIX, revision,
+                                        WATCH_WAIT_MS)
+            self._note_store_answered()
+            for change in response.changes:
                 # Only changes move on: a deaf watch answers without any.
                 revision = max(revision, change.revision)
                 if change.key == records.OWNER_KEY:
                     self._set_owner(change.item, change.revision)
                 elif change.item is not None:
-                    self._apply(change.key, change.item)
+                    self._apply_configuration(change.key, change.item)
 
-    def _answered(self) -> None:
-        self.answered_at = clock.now()
-        if not self.reachable:
-            self.reachable = True
+    def _note_store_answered(self) -> None:
+        self.last_answer_at = clock.now()
+        if not self.store_reachable:
+            self.store_reachable = True
             events.emit(events.STORE_REGAINED)
 
-    def _lost(self, reason: str) -> None:
-        if self.reachable:
-            self.reachable = False
+    def _note_store_lost(self, reason: str) -> None:
+        if self.store_reachable:
+            self.store_reachable = False
             self.owner_known = False
             events.emit(events.STORE_LOST, reason=reason)
 
-    def _apply(self, key: str, item: messages.Item) -> None:
+    def _apply_configuration(self, key: str, item: messages.Item) -> None:
         if key != self.config_key or item.revision <= self.config_revision:
             return
         try:
@@ -95,23 +95,23 @@
             events.emit(events.CONFIG_UNREADABLE, revision=item.revision,
                         reason=str(exc))
             return
-        self.current = decoded
+        self.latest_configuration = decoded
         self.config_revision = item.revision
-        self.known = True
+        self.configuration_known = True
         events.emit(events.CONFIG_APPLIED, version=decoded.version,
                     queues=len(decoded.queues), revision=item.revision)
 
     def _set_owner(self, item: messages.Item | None, revision: int) -> None:
-        with self.changed:
-            self.owner = item
+        with self.owner_changed:
+            self.owner_item = item
             self.owner_known = True
             self.owner_revision = max(self.owner_revision, revision)
-            self.changed.notify_all()
+            self.owner_changed.notify_all()
 
-    def owner_read(self, item: messages.Item | None) -> None:
+    def apply_owner_read(self, item: messages.Item | None) -> None:
         """Take in the owner's key from an answer that may be late."""
-        with self.changed:
+        with self.owner_changed:
             if item is not None and item.revision < self.owner_revision:
                 return
-            self.owner = item
-            self.changed.notify_all()
+            self.owner_item = item
+            self.owner_changed.notify_all()
--- a/sycamorefield/fleet/inbox.py
+++ b/sycamorefield/fleet/jobwatcher.py
@@ -9,22 +9,23 @@
 from sycamorefield.fleet import state as state_mod
 from sycamorefield.fleet import surroundings
 
-WATCH_MS = 2000
+WATCH_WAIT_MS = 2000
 RETRY_PAUSE_S = 0.1
 
 
-class Inbox:
+class JobWatcher:
     """Take up what is stored under the jobs' keys until told it is over."""
 
     def __init__(self, store: surroundings.Store,
-                 fleet: state_mod.FleetState, over: threading.Event) -> None:
+                 fleet: state_mod.FleetState,
+                 stepped_down: threading.Event) -> None:
         self.store = store
         self.fleet = fleet
-        self.over = over
+        self.stepped_down = stepped_down
 
     def follow(self, revision: int) -> None:
         """Take in changes after a revision, one watch after the other."""
-        while not self.over.is_set():
+        while not self.stepped_down.is_set():
             revision = self._watch(revision)
 
     def _watch(self, after: int) -> int:
@@ -35,36 +36,36 @@
         change seen brings them, or shows that the history is gone.
         """
         try:
-            found = self.store.watch(records.JOB_PREFIX, after,
-                                     WATCH_MS)
-            for change in found.changes:
+            response = self.store.watch(records.JOB_PREFIX, after,
+                                        WATCH_WAIT_MS)
+            for change in response.changes:
                 if change.item is None:
                     continue
-                self._take_job(change.item)
-                self.take_cancel(change.key)
-            return max([after] + [c.revision for c in found.changes])
+                self._add_and_log(change.item)
+                self.apply_cancellation(change.key)
+            return max([after] + [c.revision for c in response.changes])
         except surroundings.HistoryGone:
-            return self._reread(after)
+            return self._list_again(after)
         except surroundings.CallFailed as exc:
             events.emit(events.STORE_LOST, reason=f"inbox: {exc}")
-            self.over.wait(RETRY_PAUSE_S)
-            return self._reread(after)
+            self.stepped_down.wait(RETRY_PAUSE_S)
+            return self._list_again(after)
 
-    def _reread(self, after: int) -> int:
+    def _list_again(self, after: int) -> int:
         """Read all jobs again: a watch that was cut may have gone deaf."""
         try:
             listing = self.store.listing(records.JOB_PREFIX)
         except surroundings.CallFailed as exc:
             events.emit(events.STORE_LOST, reason=f"inbox: {exc}")
-            self.over.wait(RETRY_PAUSE_S)
+            self.stepped_down.wait(RETRY_PAUSE_S)
             return after
         for item in listing.items:
-            self._take_job(item)
+            self._add_and_log(item)
         for item in listing.items:
-            self.take_cancel(item.key)
+            self.apply_cancellation(item.key)
         return listing.revision
 
-    def _take_job(self, item: messages.Item) -> None:
+    def _add_and_log(self, item: messages.Item) -> None:
         """Take up a job, and log it if it is new."""
         job = self.add_job(item)
         if job is not None:
@@ -85,7 +86,7 @@
         self.fleet.add_job(job, item.created)
         return None if known else job
 
-    def take_cancel(self, key: str) -> None:
+    def apply_cancellation(self, key: str) -> None:
         """Cancel the job that a key names, if it is a cancellation's."""
         if key.endswith(records.CANCEL_SUFFIX):
             self.fleet.cancel(key[len(records.JOB_PREFIX):
--- a/sycamorefield/fleet/owner.py
+++ b/sycamorefield/fleet/owner.py
@@ -7,38 +7,38 @@
 
 from sycamorefield import events
 from sycamorefield.fleet import clock
-from sycamorefield.fleet import inbox as inbox_mod
+from sycamorefield.fleet import jobwatcher as jobwatcher_mod
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import policy as policy_mod
 from sycamorefield.fleet import recorder as recorder_mod
 from sycamorefield.fleet import records
 from sycamorefield.fleet import recovery as recovery_mod
-from sycamorefield.fleet import roster as roster_mod
 from sycamorefield.fleet import rounds
 from sycamorefield.fleet import state as state_mod
 from sycamorefield.fleet import surroundings
 from sycamorefield.fleet import usage as usage_mod
+from sycamorefield.fleet import workerlinks as workerlinks_mod
 
 # How often the use of the fleet is logged.
-USAGE_PERIOD_S = 2.0
+USAGE_LOG_PERIOD_S = 2.0
 # The owner's lease in the store.  An owner that dies is noticed when it
 # ends; three renewals fit in, so one lost or slow renewal does not end it.
-OWN_LEASE_S = 2.0
+OWNER_LEASE_S = 2.0
 # A leaving worker gets no new work within 2 s of its notice.
-ROSTER_PERIOD_S = 0.8
-ROSTER_RETRY_S = 0.2
-TICK_S = 0.1
+WORKER_LIST_PERIOD_S = 0.8
+WORKER_LIST_RETRY_S = 0.2
+MAX_IDLE_S = 0.1
 # Rounds of placing are at least this far apart, so that tasks that become
 # ready together share one.
-ROUND_PAUSE_S = 0.005
+MIN_ROUND_GAP_S = 0.005
 # A round that took long is followed by a pause of this many times as long.
 # On a weak VM, or with many who wait, rounds back to back leave no processor
 # time for reports and leases: runs lapse and their users notice, and the
 # owner's processor is seen to be all in use.
-PAUSE_FOR_ROUND = 1.0
+GAP_PER_ROUND_TIME = 1.0
 # A round that was held up itself, say by a slowed VM, must not delay the next
 # start as long again: urgent work is to start within 1.1 s.
-MOST_PAUSE_S = 0.25
+MAX_ROUND_GAP_S = 0.25
 RETRY_PAUSE_S = 0.1
 
 
@@ -47,7 +47,7 @@
 
     def __init__(self, store: surroundings.Store,
                  worker_list: surroundings.WorkerList,
-                 connect: roster_mod.WorkerFactory,
+                 connect: workerlinks_mod.WorkerFactory,
                  configuration: typing.Callable[[], messages.Configuration],
                  fence: int, hold_max_ms: float,
                  advice: surroundings.AdviceService | None = None,
@@ -55,38 +55,40 @@
         self.worker_list = worker_list
         self.fence = fence
         self.fleet = state_mod.FleetState(
-            fence, hold_max_ms, self._order, configuration, policy)
+            fence, hold_max_ms, self._send_order, configuration, policy)
         self.fleet.advice.service = advice
-        self.over = threading.Event()
+        self.stepped_down = threading.Event()
         self.recovered = False
-        self.began = clock.now()
-        self.lease_renewed(self.began)
+        self.started_at = clock.now()
+        self.note_lease_renewal(self.started_at)
         # As of the last line on it; counting anew for each caller of the
         # metrics would take the lock from placing.
         self.usage: usage_mod.Usage | None = None
         self.round_times = usage_mod.RoundTimes()
         self.recorder = recorder_mod.Recorder(
             store, self.fleet, records.OWNER_KEY, self.may_act,
-            self.step_down, self._seen)
-        self.roster = roster_mod.Roster(
+            self.step_down, self._acknowledge_ends)
+        self.worker_links = workerlinks_mod.WorkerLinks(
             self.fleet, connect, lambda: self.recorder.addresses,
             self.may_act, self.may_lease, self.step_down)
-        self.inbox = inbox_mod.Inbox(store, self.fleet, self.over)
+        self.job_watcher = jobwatcher_mod.JobWatcher(
+            store, self.fleet, self.stepped_down)
         self.recovery = recovery_mod.Recovery(
-            store, worker_list, self.fleet, self.inbox, self.roster,
-            self.recorder)
+            store, worker_list, self.fleet, self.job_watcher,
+            self.worker_links, self.recorder)
 
-    def _order(self, worker_id: str, order: state_mod.Order) -> None:
-        self.roster.order(worker_id, order)
+    def _send_order(self, worker_id: str, order: state_mod.Order) -> None:
+        self.worker_links.send_order(worker_id, order)
 
-    def _seen(self, marks: dict[str, int]) -> None:
-        self.roster.seen(marks)
+    def _acknowledge_ends(self, stored_upto: dict[str, int]) -> None:
+        self.worker_links.acknowledge_ends(stored_upto)
 
     def may_act(self) -> bool:
         """Tell whether orders may still be given."""
-        if self.over.is_set():
+        if self.stepped_down.is_set():
             return False
-        if clock.now() - self.renewed > recovery_mod.WITHOUT_STORE_S:
+        if (clock.now() - self.lease_renewed_at
+                > recovery_mod.MAX_STORE_OUTAGE_S):
             self.step_down("no answer of the store")
             return False
         return True
@@ -99,53 +101,53 @@
         workers obey this owner, there is none that reached most.  One that
         has stepped down may have given its lease back already.
         """
-        if self.over.is_set():
+        if self.stepped_down.is_set():
             return False
         now = clock.now()
-        self.fleet.without_store = now - self.renewed > OWN_LEASE_S
+        self.fleet.without_store = now - self.lease_renewed_at > OWNER_LEASE_S
         return (not self.fleet.without_store
                 or self.fleet.obeyed_by_most(now))
 
-    def lease_renewed(self, sent: float) -> None:
+    def note_lease_renewal(self, sent_at: float) -> None:
         """Note that a call sent at a moment has renewed the owner's lease.
 
         The store counts the lease from when the call came, so it holds at
         least from the moment at which it was sent.
         """
-        self.renewed = sent
-        lapsed = self.fleet.leased_until < clock.now()
-        self.fleet.leased_until = sent + OWN_LEASE_S
-        if lapsed:
+        self.lease_renewed_at = sent_at
+        was_expired = self.fleet.leased_until < clock.now()
+        self.fleet.leased_until = sent_at + OWNER_LEASE_S
+        if was_expired:
             # Jobs seen meanwhile were held back.
             with self.fleet.lock:
                 self.fleet.notify()
 
     def step_down(self, reason: str) -> None:
         """Give no orders from now on."""
-        if self.over.is_set():
+        if self.stepped_down.is_set():
             return
-        self.over.set()
+        self.stepped_down.set()
         events.emit(events.OWNERSHIP_LOST, fence=self.fence, reason=reason)
         self.recorder.stopped.set()
-        self.roster.close()
+        self.worker_links.close()
         with self.fleet.lock:
             self.fleet.wake.notify_all()
 
     def run(self) -> None:
         """Recover, then decide until stepping down."""
-        self._guarded(self._run)
+        self._run_guarded(self._run)
 
     def _run(self) -> None:
         revision = self._recover()
         if revision is None:
             return
         self.recovered = True
-        for target in (functools.partial(self.inbox.follow, revision),
-                       self._follow_roster, self.recorder.run,
-                       self._ask_advice):
-            threading.Thread(target=self._guarded, args=(target,),
+        for target in (functools.partial(self.job_watcher.follow, revision),
+                       self._follow_worker_list, self.recorder.run,
+                       self._follow_advice):
+            threading.Thread(target=self._run_guarded, args=(target,),
                              daemon=True).start()
-        self._guarded(self._rounds)
+        self._run_guarded(self._run_rounds)
         self.fleet.run_log.flush()
 
     def gauges(self) -> dict[str, float]:
@@ -153,9 +155,9 @@
         now = clock.now()
         gauges = {
             "fence": float(self.fence),
-            "owner_age_s": now - self.began,
+            "owner_age_s": now - self.started_at,
             "owner_recovered": float(self.recovered),
-            "lease_age_s": now - self.renewed,
+            "lease_age_s": now - self.lease_renewed_at,
             "rounds_total": float(self.round_times.rounds),
             "rounds_busy_s_total": self.round_times.busy_s,
             "rounds_waited_s_total": self.round_times.waited_s,
@@ -169,7 +171,7 @@
             gauges.update(figures)
         return gauges
 
-    def _guarded(self, target: typing.Callable[[], None]) -> None:
+    def _run_guarded(self, target: typing.Callable[[], None]) -> None:
         """Step down on an unexpected error: a successor starts afresh."""
         try:
             target()
@@ -178,8 +180,8 @@
                         where=events.place(exc))
             self.step_down("unexpected error")
 
-    def _ask_advice(self) -> None:
-        self.fleet.advice.run(self.over)
+    def _follow_advice(self) -> None:
+        self.fleet.advice.run(self.stepped_down)
 
     def _recover(self) -> int | None:
         """Read jobs, progress and workers; return the jobs' revision."""
@@ -188,25 +190,26 @@
                 return self.recovery.load()
             except surroundings.CallFailed as exc:
                 events.emit(events.STORE_LOST, reason=str(exc))
-                self.over.wait(RETRY_PAUSE_S)
+                self.stepped_down.wait(RETRY_PAUSE_S)
         return None
 
-    def _follow_roster(self) -> None:
-        logged = 0.0
+    def _follow_worker_list(self) -> None:
+        logged_at = 0.0
         times = usage_mod.RoundTimes()
-        pause_s = ROSTER_PERIOD_S
-        while not self.over.wait(pause_s):
-            pause_s = ROSTER_PERIOD_S
-            began = clock.now()
+        pause_s = WORKER_LIST_PERIOD_S
+        while not self.stepped_down.wait(pause_s):
+            pause_s = WORKER_LIST_PERIOD_S
+            read_at = clock.now()
             try:
-                self.roster.take_entries(self.worker_list.workers(), began)
+                self.worker_links.update_workers(
+                    self.worker_list.workers(), read_at)
             except surroundings.CallFailed as exc:
                 events.emit(events.STORE_LOST, reason=f"workers: {exc}")
                 # With an old list nothing may be started.
-                pause_s = ROSTER_RETRY_S
-            self.roster.close_gone()
-            if clock.now() - logged >= USAGE_PERIOD_S:
-                logged = clock.now()
+                pause_s = WORKER_LIST_RETRY_S
+            self.worker_links.close_removed()
+            if clock.now() - logged_at >= USAGE_LOG_PERIOD_S:
+                logged_at = clock.now()
                 times = self._log_usage(times)
 
     def _log_usage(self, earlier: usage_mod.RoundTimes
@@ -216,27 +219,27 @@
         times = dataclasses.replace(self.round_times)
         events.emit(events.FLEET_USAGE, **dataclasses.asdict(self.usage),
                     **times.since(earlier), fence=self.fence,
-                    lease_age_s=round(clock.now() - self.renewed, 3))
+                    lease_age_s=round(clock.now() - self.lease_renewed_at, 3))
         return times
 
-    def _rounds(self) -> None:
-        ended = clock.now()
+    def _run_rounds(self) -> None:
+        ended_at = clock.now()
         while self.may_act():
             with self.fleet.lock:
                 if not self.fleet.changed:
-                    self.fleet.wake.wait(TICK_S)
-            now = clock.now()
-            waited_s = now - ended
-            self.fleet.expire(now)
-            self.fleet.run_log.flush_when_due(now)
+                    self.fleet.wake.wait(MAX_IDLE_S)
+            started_at = clock.now()
+            waited_s = started_at - ended_at
+            self.fleet.expire(started_at)
+            self.fleet.run_log.flush_when_due(started_at)
             if not self.may_lease():
                 # A start without a lease would be taken back unsent and be
                 # placed again at once, hundreds of times a second.
-                self.over.wait(TICK_S)
+                self.stepped_down.wait(MAX_IDLE_S)
                 continue
-            rounds.place(self.fleet, now, clock.wall_ms())
-            ended = clock.now()
-            took = ended - now
-            self.round_times.add(waited_s, took)
-            self.over.wait(min(MOST_PAUSE_S, max(
-                ROUND_PAUSE_S, PAUSE_FOR_ROUND * took)))
+            rounds.place(self.fleet, started_at, clock.wall_ms())
+            ended_at = clock.now()
+            round_s = ended_at - started_at
+            self.round_times.add(waited_s, round_s)
+            self.stepped_down.wait(min(MAX_ROUND_GAP_S, max(
+                MIN_ROUND_GAP_S, GAP_PER_ROUND_TIME * round_s)))
--- a/sycamorefield/fleet/ownership.py
+++ b/sycamorefield/fleet/ownership.py
@@ -7,13 +7,13 @@
 
 from sycamorefield import events
 from sycamorefield.fleet import clock
+from sycamorefield.fleet import controlwatcher
 from sycamorefield.fleet import messages
-from sycamorefield.fleet import operatorview
 from sycamorefield.fleet import owner as owner_mod
 from sycamorefield.fleet import records
 from sycamorefield.fleet import surroundings
 
-LEASE_TTL_MS = int(owner_mod.OWN_LEASE_S * 1000)
+LEASE_TTL_MS = int(owner_mod.OWNER_LEASE_S * 1000)
 RENEW_PERIOD_S = 0.5
 # Processes that see the key go at the same moment try at different times,
 # which spares the store most of the claims that cannot win.
@@ -21,43 +21,43 @@
 # The owner of a large fleet on a weak VM uses all its processor time: urgent
 # tasks wait beside free cores because it can't order more starts.  A VM with
 # less than this leaves the claim to others that may be about to make it.
-OWNER_CORES = 1.0
+MIN_OWNER_CORES = 1.0
 # A claim takes two calls to the store, 0.5 s where it answers 60 times more
 # slowly than usual; without a stronger VM a takeover is this much later.
-WEAK_PATIENCE_S = 0.4
+WEAK_VM_CLAIM_DELAY_S = 0.4
 RETRY_PAUSE_S = 0.2
 
 OwnerFactory = typing.Callable[[int], owner_mod.Owner]
 
 
-def patience_s(cores: float, weak_vms_wait: bool = True) -> float:
+def claim_delay_s(cores: float, weak_vms_wait: bool = True) -> float:
     """Return how long a VM leaves a free fleet to stronger ones."""
-    if cores >= OWNER_CORES or not weak_vms_wait:
+    if cores >= MIN_OWNER_CORES or not weak_vms_wait:
         return 0.0
-    return WEAK_PATIENCE_S
+    return WEAK_VM_CLAIM_DELAY_S
 
 
 class Ownership:
     """Claim the owner's key when it is free and run an Owner meanwhile."""
 
     def __init__(self, store: surroundings.Store,
-                 view: operatorview.OperatorView, name: str,
-                 make_owner: OwnerFactory, patience: float = 0.0) -> None:
+                 watcher: controlwatcher.ControlWatcher, name: str,
+                 make_owner: OwnerFactory, claim_delay_s: float = 0.0) -> None:
         self.store = store
-        self.view = view
-        self.value = f"{name} {uuid.uuid4().hex}".encode()
+        self.watcher = watcher
+        self.identity = f"{name} {uuid.uuid4().hex}".encode()
         self.make_owner = make_owner
-        self.patience = patience
+        self.claim_delay_s = claim_delay_s
         self.owner: owner_mod.Owner | None = None
-        self.lease = 0
+        self.lease_id = 0
         # When the call was sent that granted or renewed the lease last.
-        self.leased_at = 0.0
+        self.lease_requested_at = 0.0
         self.stopped = threading.Event()
 
     def run(self) -> None:
         """Compete until stopped."""
         while not self.stopped.is_set():
-            self._wait_for_turn()
+            self._wait_until_claimable()
             if self.stopped.is_set():
                 return
             try:
@@ -67,20 +67,21 @@
                 self.stopped.wait(RETRY_PAUSE_S)
                 continue
             if fence:
-                self._serve(fence)
+                self._run_term(fence)
 
-    def _wait_for_turn(self) -> None:
+    def _wait_until_claimable(self) -> None:
         """Wait until the key is free, or is ours without our knowing."""
-        with self.view.changed:
+        with self.watcher.owner_changed:
             while not self.stopped.is_set():
-                if self.view.owner_known and self.view.known:
-                    item = self.view.owner
-                    if item is None or item.value == self.value:
+                if (self.watcher.owner_known
+                        and self.watcher.configuration_known):
+                    item = self.watcher.owner_item
+                    if item is None or item.value == self.identity:
                         break
-                self.view.changed.wait(0.5)
-        if self.view.owner is None:
+                self.watcher.owner_changed.wait(0.5)
+        if self.watcher.owner_item is None:
             self.stopped.wait(
-                self.patience + random.uniform(0, CLAIM_JITTER_S))
+                self.claim_delay_s + random.uniform(0, CLAIM_JITTER_S))
 
     def _claim(self) -> int:
         """Return the fence (the key's new revision), or 0 if another won.
@@ -90,19 +91,20 @@
         above that of every other, or what the earlier one started, and its
         calls that are still under way, would pass for the new one's.
         """
-        item = self.view.owner
-        if item is not None and item.value != self.value:
+        item = self.watcher.owner_item
+        if item is not None and item.value != self.identity:
             # While this process waited, another claimed the key.
             return 0
         revision = item.revision if item is not None else 0
-        self.leased_at = clock.now()
-        self.lease = self.store.grant(LEASE_TTL_MS)
+        self.lease_requested_at = clock.now()
+        self.lease_id = self.store.grant(LEASE_TTL_MS)
         try:
             fence = self.store.commit(messages.Transaction(
                 (messages.Expect(records.OWNER_KEY, revision),),
-                (messages.Put(records.OWNER_KEY, self.value, self.lease),)))
+                (messages.Put(records.OWNER_KEY, self.identity,
+                              self.lease_id),)))
         except surroundings.Conflict as exc:
-            self.view.owner_read(exc.at(records.OWNER_KEY))
+            self.watcher.apply_owner_read(exc.at(records.OWNER_KEY))
             return 0
         except surroundings.LeaseEnded:
             # The grant took longer than the lease; the next try asks anew.
@@ -110,10 +112,10 @@
         events.emit(events.OWNERSHIP_CLAIMED, fence=fence, replaced=revision)
         return fence
 
-    def _serve(self, fence: int) -> None:
+    def _run_term(self, fence: int) -> None:
         owner = self.make_owner(fence)
         # A claim may come seconds after its lease was granted.
-        owner.lease_renewed(self.leased_at)
+        owner.note_lease_renewal(self.lease_requested_at)
         self.owner = owner
         if self.stopped.is_set():
             # A stop during the claim found no owner to hand over.
@@ -121,58 +123,58 @@
             owner.step_down("planned stop")
             self.release(fence)
             return
-        threading.Thread(target=self._renew, args=(owner,),
+        threading.Thread(target=self._renew_lease, args=(owner,),
                          daemon=True).start()
-        threading.Thread(target=self._check, args=(owner,),
+        threading.Thread(target=self._watch_owner_key, args=(owner,),
                          daemon=True).start()
         owner.run()
         owner.step_down("ended")
         self.owner = None
         if self.stopped.is_set():
             return
-        item = self.view.owner
-        if item is not None and item.value == self.value:
+        item = self.watcher.owner_item
+        if item is not None and item.value == self.identity:
             # Lets others claim it: the term may have ended by a fault here.
             threading.Thread(target=self.release, args=(fence,),
                              daemon=True).start()
         self.stopped.wait(RETRY_PAUSE_S)
 
-    def _renew(self, owner: owner_mod.Owner) -> None:
-        while not owner.over.wait(RENEW_PERIOD_S):
-            sent = clock.now()
+    def _renew_lease(self, owner: owner_mod.Owner) -> None:
+        while not owner.stepped_down.wait(RENEW_PERIOD_S):
+            sent_at = clock.now()
             try:
-                self.store.renew(self.lease)
-                owner.lease_renewed(sent)
+                self.store.renew(self.lease_id)
+                owner.note_lease_renewal(sent_at)
             except surroundings.LeaseEnded:
                 owner.step_down("lease ended")
             except surroundings.CallFailed as exc:
                 events.emit(events.STORE_LOST, reason=f"renewal: {exc}")
 
-    def _check(self, owner: owner_mod.Owner) -> None:
+    def _watch_owner_key(self, owner: owner_mod.Owner) -> None:
         """Step down when the key is seen to be gone or another's."""
-        while not owner.over.is_set():
-            with self.view.changed:
-                if not self._seems_lost(owner):
-                    self.view.changed.wait(0.5)
-                suspect = self._seems_lost(owner)
+        while not owner.stepped_down.is_set():
+            with self.watcher.owner_changed:
+                if not self._key_seems_lost(owner):
+                    self.watcher.owner_changed.wait(0.5)
+                seems_lost = self._key_seems_lost(owner)
             # The read may take a second; the view goes on meanwhile.
-            if suspect and not self._is_lost(owner):
-                owner.over.wait(RETRY_PAUSE_S)
+            if seems_lost and not self._confirm_key_lost(owner):
+                owner.stepped_down.wait(RETRY_PAUSE_S)
 
-    def _seems_lost(self, owner: owner_mod.Owner) -> bool:
-        item = self.view.owner
-        if not self.view.owner_known:
+    def _key_seems_lost(self, owner: owner_mod.Owner) -> bool:
+        item = self.watcher.owner_item
+        if not self.watcher.owner_known:
             return False
         return item is None or item.revision > owner.fence
 
-    def _is_lost(self, owner: owner_mod.Owner) -> bool:
+    def _confirm_key_lost(self, owner: owner_mod.Owner) -> bool:
         """Read the key itself: the watch may be older than the claim."""
         try:
             item = self.store.get(records.OWNER_KEY)
         except surroundings.CallFailed as exc:
             events.emit(events.STORE_LOST, reason=f"owner's key: {exc}")
             return False
-        self.view.owner_read(item)
+        self.watcher.apply_owner_read(item)
         if item is not None and item.revision == owner.fence:
             return False
         owner.step_down("owner's key is gone or another's")
@@ -192,8 +194,8 @@
     def stop(self) -> None:
         """Stop competing; hand the fleet over if this process owns it."""
         self.stopped.set()
-        with self.view.changed:
-            self.view.changed.notify_all()
+        with self.watcher.owner_changed:
+            self.watcher.owner_changed.notify_all()
         owner = self.owner
         if owner is None:
             return
--- a/sycamorefield/fleet/roster.py
+++ b/sycamorefield/fleet/workerlinks.py
@@ -12,7 +12,7 @@
 MayAct = typing.Callable[[], bool]
 
 
-class Roster:
+class WorkerLinks:
     """Hold the links to all workers that are listed, or may run something.
 
     addresses tells where workers in use are by the stored list of an earlier
@@ -20,27 +20,27 @@
     """
 
     def __init__(self, fleet: state_mod.FleetState, connect: WorkerFactory,
-                 addresses: typing.Callable[[], dict[str, str] | None],
+                 stored_addresses: typing.Callable[[], dict[str, str] | None],
                  may_act: MayAct, may_lease: MayAct,
                  step_down: typing.Callable[[str], None]) -> None:
         self.fleet = fleet
         self.connect = connect
-        self.addresses = addresses
+        self.stored_addresses = stored_addresses
         self.may_act = may_act
         self.may_lease = may_lease
         self.step_down = step_down
         self.links: dict[str, link_mod.WorkerLink] = {}
         self.closed = False
 
-    def order(self, worker_id: str, order: state_mod.Order) -> None:
+    def send_order(self, worker_id: str, order: state_mod.Order) -> None:
         """Hand an order to the link of its worker."""
         link = self.links.get(worker_id)
         if link is not None:
             link.orders.put(order)
 
-    def seen(self, marks: dict[str, int]) -> None:
+    def acknowledge_ends(self, stored_upto: dict[str, int]) -> None:
         """Let workers forget ends up to the numbers that are stored."""
-        for worker_id, number in marks.items():
+        for worker_id, number in stored_upto.items():
             link = self.links.get(worker_id)
             if link is not None:
                 link.mark_seen(number)
@@ -51,22 +51,22 @@
         for link in list(self.links.values()):
             link.close()
 
-    def take_entries(self, entries: tuple[messages.WorkerEntry, ...],
-                     read_at: float | None = None) -> None:
+    def update_workers(self, entries: tuple[messages.WorkerEntry, ...],
+                       read_at: float | None = None) -> None:
         """Take up all workers listed, then begin to speak to the new ones.
 
         The lock is taken once: taken for each, others get it in between, and
         workers that come back together are used again one by one.
         """
         with self.fleet.lock:
-            links = [self._take_entry(entry) for entry in entries]
+            links = [self._add_worker(entry) for entry in entries]
             self.fleet.unlist(
                 {entry.worker_id for entry in entries},
                 clock.now() if read_at is None else read_at)
         for link in links:
-            self._begin(link)
+            self._start_link(link)
 
-    def _take_entry(self, entry: messages.WorkerEntry
+    def _add_worker(self, entry: messages.WorkerEntry
                     ) -> link_mod.WorkerLink | None:
         """Take up a worker; return its link if it is a new one."""
         old = self.links.get(entry.worker_id)
@@ -82,28 +82,28 @@
         self.links[entry.worker_id] = link
         return link
 
-    def contact_unlisted(self) -> None:
+    def connect_unlisted(self) -> None:
         """Ask workers in use that the list has lost, at their address."""
-        addresses = self.addresses()
+        addresses = self.stored_addresses()
         for worker_id in list(self.fleet.unheard):
             if worker_id in self.links or not addresses:
                 continue
             entry = messages.WorkerEntry(
                 worker_id, "", addresses[worker_id], "", False,
                 messages.Room(), ())
-            link = self._take_entry(entry)
+            link = self._add_worker(entry)
             with self.fleet.lock:
                 self.fleet.workers[worker_id].listed = False
-            self._begin(link)
+            self._start_link(link)
 
-    def _begin(self, link: link_mod.WorkerLink | None) -> None:
+    def _start_link(self, link: link_mod.WorkerLink | None) -> None:
         if link is None:
             return
         link.start()
         if self.closed:
             link.close()
 
-    def close_gone(self) -> None:
+    def close_removed(self) -> None:
         """End the links to workers that are given up."""
         for worker_id, link in list(self.links.items()):
             if worker_id not in self.fleet.workers:
--- a/sycamorefield/platform/daemon.py
+++ b/sycamorefield/platform/daemon.py
@@ -12,8 +12,8 @@
 
 from sycamorefield import events
 from sycamorefield.fleet import clock
-from sycamorefield.fleet import intake as intake_mod
-from sycamorefield.fleet import operatorview
+from sycamorefield.fleet import controlwatcher
+from sycamorefield.fleet import jobrequests as jobrequests_mod
 from sycamorefield.fleet import owner as owner_mod
 from sycamorefield.fleet import ownership as ownership_mod
 from sycamorefield.fleet import policy as policy_mod
@@ -51,25 +51,26 @@
         self.settings = settings
         self.policy = policy
         self.store = store_mod.PlatformStore(settings.platform.addr)
-        self.view = operatorview.OperatorView(
+        self.watcher = controlwatcher.ControlWatcher(
             self.store, configuration.KEY, configuration.decode)
-        self.intake = intake_mod.Intake(self.store, self._store_silent)
+        self.job_requests = jobrequests_mod.JobRequestHandler(
+            self.store, self._store_silent)
         self.advice = (advice_mod.PlatformAdvice(settings.advice)
                        if settings.advice else None)
         self.ownership = ownership_mod.Ownership(
-            self.store, self.view, settings.node, self._make_owner,
-            ownership_mod.patience_s(
+            self.store, self.watcher, settings.node, self._make_owner,
+            ownership_mod.claim_delay_s(
                 settings.limits.cpu_share * settings.limits.cores,
                 policy.weak_vms_wait))
         self.stop_asked = threading.Event()
         self.front = front_mod.Front(
-            self.intake, self.view.configuration, self._ready,
+            self.job_requests, self.watcher.configuration, self._ready,
             self.stop_asked.is_set, self._metrics)
 
     def _make_owner(self, fence: int) -> owner_mod.Owner:
         return owner_mod.Owner(
             self.store, workers_mod.PlatformWorkerList(self.store),
-            workers_mod.PlatformWorker, self.view.configuration, fence,
+            workers_mod.PlatformWorker, self.watcher.configuration, fence,
             self.settings.bounds.hold_max_ms, self.advice, self.policy)
 
     def _ready(self) -> bool:
@@ -79,18 +80,19 @@
         sends callers to others.  When the store is down for all, no VM is
         ready, and the balancer uses them all.
         """
-        return (self.view.known and not self.stop_asked.is_set()
+        return (self.watcher.configuration_known
+                and not self.stop_asked.is_set()
                 and not self._store_silent())
 
     def _store_silent(self) -> bool:
-        return clock.now() - self.view.answered_at >= STORE_SILENCE_S
+        return clock.now() - self.watcher.last_answer_at >= STORE_SILENCE_S
 
     def _metrics(self) -> str:
         owner = self.ownership.owner
         gauges = {
-            "config_version": float(self.view.current.version),
-            "store_reachable": float(self.view.reachable),
-            "store_silence_s": clock.now() - self.view.answered_at,
+            "config_version": float(self.watcher.latest_configuration.version),
+            "store_reachable": float(self.watcher.store_reachable),
+            "store_silence_s": clock.now() - self.watcher.last_answer_at,
             "fleet_owner": float(owner is not None)}
         if owner is not None:
             gauges.update(owner.gauges())
@@ -101,7 +103,7 @@
         signal.signal(signal.SIGTERM, lambda *_: self.stop_asked.set())
         signal.signal(signal.SIGHUP, lambda *_: self.reload())
         servers = self._listen()
-        for target in (self.view.run, self.ownership.run):
+        for target in (self.watcher.run, self.ownership.run):
             threading.Thread(target=target, daemon=True).start()
         events.emit(events.PROCESS_STARTED, address=self.settings.ip,
                     metrics=self.settings.metrics_address(),
--- a/sycamorefield/platform/front.py
+++ b/sycamorefield/platform/front.py
@@ -8,7 +8,7 @@
 
 from sycamorefield import events
 from sycamorefield.fleet import clock
-from sycamorefield.fleet import intake as intake_mod
+from sycamorefield.fleet import jobrequests as jobrequests_mod
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import surroundings
 from sycamorefield.platform import jobbody
@@ -35,12 +35,12 @@
 class Front:
     """Serve the WSGI application behind front, ready and metrics."""
 
-    def __init__(self, intake: intake_mod.Intake,
+    def __init__(self, job_requests: jobrequests_mod.JobRequestHandler,
                  configuration: typing.Callable[[], messages.Configuration],
                  ready: typing.Callable[[], bool],
                  stopping: typing.Callable[[], bool],
                  metrics: typing.Callable[[], str]) -> None:
-        self.intake = intake
+        self.job_requests = job_requests
         self.configuration = configuration
         self.ready = ready
         self.stopping = stopping
@@ -101,16 +101,17 @@
         if not name:
             if method != "GET":
                 return Reply(405, {"error": "method not allowed"})
-            return Reply(200, {"waiting": self.intake.waiting(queue.name)})
+            return Reply(200, {
+                "waiting": self.job_requests.waiting_count(queue.name)})
         if not JOB_ID.fullmatch(name):
             status = 400 if method == "POST" else 410
             return Reply(status, {"error": "not a job ID"})
         if method == "POST":
             return self._submit(queue, name, body, _deadline(environ))
         if method == "DELETE":
-            return _reply(self.intake.cancel(name, _deadline(environ)))
+            return _reply(self.job_requests.cancel(name, _deadline(environ)))
         if method == "GET":
-            shown = self.intake.show(name)
+            shown = self.job_requests.job_status(name)
             if shown is None:
                 return Reply(410, {"error": "no such job"})
             reason = {"reason": shown.reason} if shown.reason else {}
@@ -125,15 +126,15 @@
             findings = [{"place": ".".join(str(p) for p in e["loc"]),
                          "message": e["msg"]} for e in exc.errors()]
             return Reply(400, {"error": "bad job", "findings": findings})
-        return _reply(self.intake.submit(job, deadline))
+        return _reply(self.job_requests.submit(job, deadline))
 
 
-def _reply(outcome: intake_mod.Outcome) -> Reply:
-    if isinstance(outcome, intake_mod.Accepted):
+def _reply(outcome: jobrequests_mod.Outcome) -> Reply:
+    if isinstance(outcome, jobrequests_mod.Accepted):
         return Reply(200)
-    if isinstance(outcome, intake_mod.Unknown):
+    if isinstance(outcome, jobrequests_mod.UnknownJob):
         return Reply(410, {"error": "no such job"})
-    if isinstance(outcome, intake_mod.Refused):
+    if isinstance(outcome, jobrequests_mod.Refused):
         return Reply(503, {"error": outcome.reason}, outcome.retry_after_s)
     return Reply(504, {"error": outcome.reason})
 
@@ -153,7 +154,7 @@
     try:
         seconds = float(given) / 1000.0
     except ValueError:
-        seconds = intake_mod.DEFAULT_DEADLINE_S
+        seconds = jobrequests_mod.DEFAULT_DEADLINE_S
     if not 0 < seconds < 3600:
-        seconds = intake_mod.DEFAULT_DEADLINE_S
+        seconds = jobrequests_mod.DEFAULT_DEADLINE_S
     return clock.now() + seconds
--- a/tests/test_fleet_crashes.py
+++ b/tests/test_fleet_crashes.py
@@ -51,8 +51,8 @@
 
     @staticmethod
     def _renew(owner: owner_mod.Owner) -> None:
-        while not owner.over.wait(0.3):
-            owner.lease_renewed(clock.now())
+        while not owner.stepped_down.wait(0.3):
+            owner.note_lease_renewal(clock.now())
 
     def join(self, number: int, life: int) -> None:
         """Let a worker start and list itself."""
@@ -67,7 +67,7 @@
                 other.dead |= other.crashed and (
                     int(other.worker_id[2:]) % 100 == number)
             self.workers[entry.worker_id] = worker
-            self.roster.entries += (entry,)
+            self.worker_list.entries += (entry,)
 
     def crashed(self, number: int, life: int) -> None:
         """Let a worker that crashed come back after a while."""
@@ -271,7 +271,7 @@
     for failure in range(4):
         wait_for(lambda: len(fleet.running()) == 4)
         rack = f"r{failure % min(racks, 2)}"
-        for entry in fleet.roster.entries:
+        for entry in fleet.worker_list.entries:
             if racks == 3 or entry.rack() == rack:
                 fleet.workers[entry.worker_id].crash()
     wait_for(lambda: len(fleet.running()) == 4)
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -101,7 +101,7 @@
 
     def may_act():
         checked.set()
-        return not owner.over.is_set()
+        return not owner.stepped_down.is_set()
 
     link = make_link(bench, worker)
     link.may_act, link.may_lease = may_act, owner.may_lease
--- a/tests/test_fleet_machine.py
+++ b/tests/test_fleet_machine.py
@@ -18,9 +18,9 @@
 
 from sycamorefield.fleet import answers
 from sycamorefield.fleet import clock
+from sycamorefield.fleet import controlwatcher
 from sycamorefield.fleet import crashes
 from sycamorefield.fleet import messages
-from sycamorefield.fleet import operatorview
 from sycamorefield.fleet import owner as owner_mod
 from sycamorefield.fleet import ownership as ownership_mod
 from sycamorefield.fleet import progress
@@ -177,10 +177,10 @@
         return [w for w in self.workers.values() if w.alive]
 
     def _process(self, name: str) -> ownership_mod.Ownership:
-        view = operatorview.OperatorView(
+        watcher = controlwatcher.ControlWatcher(
             self.store, "op/c", lambda _: fleetfakes.configuration())
-        view.owner_known = True
-        return ownership_mod.Ownership(self.store, view, name,
+        watcher.owner_known = True
+        return ownership_mod.Ownership(self.store, watcher, name,
                                        self._no_owner)
 
     @staticmethod
@@ -220,7 +220,7 @@
     def _claim(self, process: ownership_mod.Ownership, fate: str) -> int:
         """Let a process that may claim the fleet do so; return the fence."""
         owner = self.store.items.get(records.OWNER_KEY)
-        if owner is not None and owner.value != process.value:
+        if owner is not None and owner.value != process.identity:
             # Others wait until the lease that holds the key is over.
             for lease, keys in list(self.store.leases.items()):
                 if records.OWNER_KEY in keys:
@@ -228,7 +228,8 @@
         self._set_fate(fate)
         fence = 0
         while not fence:
-            process.view.owner = self.store.items.get(records.OWNER_KEY)
+            process.watcher.owner_item = self.store.items.get(
+                records.OWNER_KEY)
             try:
                 fence = process._claim()
             except surroundings.CallFailed:
@@ -273,7 +274,7 @@
 
     def _renewed(self) -> None:
         self.renewed = self.now
-        self.fleet.leased_until = self.now + owner_mod.OWN_LEASE_S
+        self.fleet.leased_until = self.now + owner_mod.OWNER_LEASE_S
 
     def _read_progress(self, state: progress.JobState) -> None:
         item = self.store.items.get(
@@ -294,7 +295,7 @@
             in_use = records.decode_mapping(item.value)
             self.recorder.revisions[records.FLEET_KEY] = item.revision
             self.recorder.addresses = in_use
-        self.fleet.expect(in_use, self.now + recovery.WITHOUT_STORE_S
+        self.fleet.expect(in_use, self.now + recovery.MAX_STORE_OUTAGE_S
                           + workerstate.LEASE_OVER_S)
         self._read_list()
         self.fleet.enrol(in_use)
@@ -311,7 +312,7 @@
         self.sent.append(Sent(worker_id, order, self.fleet.fence, 0.0))
 
     def _may_lease(self) -> bool:
-        return (self.now - self.renewed <= owner_mod.OWN_LEASE_S
+        return (self.now - self.renewed <= owner_mod.OWNER_LEASE_S
                 or self.fleet.obeyed_by_most(self.now))
 
     def _lease(self, worker_id: str) -> float | None:
@@ -437,7 +438,7 @@
         if not self.silent:
             self._renewed()
             self._read_list()
-        if self.now - self.renewed > recovery.WITHOUT_STORE_S:
+        if self.now - self.renewed > recovery.MAX_STORE_OUTAGE_S:
             self._step_down()
             return
         self.fleet.expire(self.now)
@@ -472,7 +473,7 @@
         """Let the store return; its leases paused, or ran out."""
         self.silent = self.store.refuse = False
         if lease_ended:
-            self.store.end_lease(self.process.lease)
+            self.store.end_lease(self.process.lease_id)
             self._step_down()
 
     @stateful.precondition(lambda self: self.acting and not self.silent)
--- a/tests/test_fleet_orders.py
+++ b/tests/test_fleet_orders.py
@@ -162,8 +162,8 @@
         lambda entry: fleetfakes.MemoryWorker(entry.worker_id),
         fleetfakes.configuration, 5, 6000.0)
     lock = owner.fleet.lock = CountingLock(owner.fleet.lock)
-    owner.roster.take_entries(entries)
-    assert len(owner.roster.links) == 28
+    owner.worker_links.update_workers(entries)
+    assert len(owner.worker_links.links) == 28
     assert lock.taken <= 2
 
 
@@ -182,12 +182,12 @@
     placed = []
     monkeypatch.setattr(rounds, "place",
                         lambda fleet, now, wall_ms: placed.append(now))
-    owner.renewed = clock.now() - owner_mod.OWN_LEASE_S - 0.5
-    thread = threading.Thread(target=owner._rounds)
+    owner.lease_renewed_at = clock.now() - owner_mod.OWNER_LEASE_S - 0.5
+    thread = threading.Thread(target=owner._run_rounds)
     thread.start()
     time.sleep(0.4)
     assert not placed
-    owner.renewed = clock.now()
+    owner.lease_renewed_at = clock.now()
     time.sleep(0.4)
     assert placed
     owner.step_down("test over")
--- a/tests/test_fleet_ownership.py
+++ b/tests/test_fleet_ownership.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from sycamorefield.fleet import controlwatcher
 from sycamorefield.fleet import messages
-from sycamorefield.fleet import operatorview
 from sycamorefield.fleet import ownership as ownership_mod
 from sycamorefield.fleet import recorder as recorder_mod
 from sycamorefield.fleet import records
@@ -23,15 +23,15 @@
 
 
 def contender(store, name, patience=0.0):
-    view = operatorview.OperatorView(store, "op/c",
-                                     lambda value: messages.Configuration())
-    return ownership_mod.Ownership(store, view, name, NoOwner, patience)
+    watcher = controlwatcher.ControlWatcher(
+        store, "op/c", lambda value: messages.Configuration())
+    return ownership_mod.Ownership(store, watcher, name, NoOwner, patience)
 
 
 def look(ownership):
     """Let a contender see the owner's key as it stands."""
-    ownership.view.owner = ownership.store.get(records.OWNER_KEY)
-    ownership.view.owner_known = True
+    ownership.watcher.owner_item = ownership.store.get(records.OWNER_KEY)
+    ownership.watcher.owner_known = True
 
 
 def test_another_owner_seen_while_waiting_is_not_taken_for_ourselves():
@@ -46,7 +46,7 @@
     """
     store = fleetfakes.MemoryStore()
     first, second = contender(store, "a"), contender(store, "b")
-    second.lease = store.grant(2000)
+    second.lease_id = store.grant(2000)
     fence = first._claim()
     look(second)
     assert fence
@@ -79,7 +79,7 @@
     strong ones.  Cause: all tried at the same moment, whatever they have.
     Evidence: from 8 to 34 s an owner on 0.516 core used 0.49 to 0.52 of it.
     """
-    patience = ownership_mod.patience_s(cores)
+    patience = ownership_mod.claim_delay_s(cores)
     assert (patience > ownership_mod.CLAIM_JITTER_S) is patient
 
 
@@ -89,10 +89,10 @@
     strong, weak = contender(store, "s"), contender(store, "w", 0.3)
     for one in (strong, weak):
         look(one)
-        one.view.known = True
-    waiting = threading.Thread(target=weak._wait_for_turn)
+        one.watcher.configuration_known = True
+    waiting = threading.Thread(target=weak._wait_until_claimable)
     waiting.start()
-    strong._wait_for_turn()
+    strong._wait_until_claimable()
     assert strong._claim()
     look(weak)
     waiting.join()
@@ -106,8 +106,8 @@
     fence = first._claim()
     read = store.get(records.OWNER_KEY)
     first.release(fence)
-    second.view._read()
-    second.view.owner_read(read)
+    second.watcher._list_keys()
+    second.watcher.apply_owner_read(read)
     assert second._claim()
 
 
@@ -135,19 +135,20 @@
     """
     store = StuckStore()
     ours = contender(store, "a")
-    ours.view.owner_known = True
-    owner = types.SimpleNamespace(fence=7, over=threading.Event(),
-                                  step_down=lambda reason: owner.over.set())
-    checker = threading.Thread(target=ours._check, args=(owner,))
+    ours.watcher.owner_known = True
+    owner = types.SimpleNamespace(fence=7, stepped_down=threading.Event(),
+                                  step_down=lambda reason:
+                                  owner.stepped_down.set())
+    checker = threading.Thread(target=ours._watch_owner_key, args=(owner,))
     checker.start()
     assert store.reading.wait(5)
-    free = ours.view.changed.acquire(timeout=1)
+    free = ours.watcher.owner_changed.acquire(timeout=1)
     store.go_on.set()
     if free:
-        ours.view.changed.release()
+        ours.watcher.owner_changed.release()
     checker.join(5)
     assert free
-    assert owner.over.is_set()
+    assert owner.stepped_down.is_set()
 
 
 def test_a_claim_under_way_at_a_planned_stop_is_given_back(monkeypatch):
@@ -155,15 +156,16 @@
     store = fleetfakes.MemoryStore()
     ours = contender(store, "a")
     look(ours)
-    ours.view.known = True
+    ours.watcher.configuration_known = True
     terms = []
 
     def make_owner(fence):
-        over = threading.Event()
+        stepped_down = threading.Event()
         return types.SimpleNamespace(
-            fence=fence, over=over, lease_renewed=lambda sent: None,
+            fence=fence, stepped_down=stepped_down,
+            note_lease_renewal=lambda sent_at: None,
             run=lambda: terms.append(fence),
-            step_down=lambda reason: over.set())
+            step_down=lambda reason: stepped_down.set())
 
     commit = store.commit
 
--- a/tests/test_fleet_review.py
+++ b/tests/test_fleet_review.py
@@ -272,7 +272,7 @@
 
     monkeypatch.setattr(rounds, "place", place)
     owner.may_lease = lambda: True
-    thread = threading.Thread(target=owner._rounds)
+    thread = threading.Thread(target=owner._run_rounds)
     thread.start()
     time.sleep(2 * held_up_s + 0.5)
     owner.step_down("test over")
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -338,8 +338,9 @@
     earlier, later = Bench(*entries), Bench()
     start = earlier.now
     later.state.expect([e.worker_id for e in entries],
-                       start + owner_mod.OWN_LEASE_S
-                       + recovery.WITHOUT_STORE_S + workerstate.LEASE_OVER_S)
+                       start + owner_mod.OWNER_LEASE_S
+                       + recovery.MAX_STORE_OUTAGE_S
+                       + workerstate.LEASE_OVER_S)
     granted_ms = 0.0
     while later.state.unheard:
         earlier.now += 0.25
@@ -348,14 +349,14 @@
         for n, entry in enumerate(entries):
             if n >= reached:
                 earlier.state.worker_silent(entry.worker_id, "cut")
-            elif silence_s <= recovery.WITHOUT_STORE_S:
-                if (silence_s <= owner_mod.OWN_LEASE_S
+            elif silence_s <= recovery.MAX_STORE_OUTAGE_S:
+                if (silence_s <= owner_mod.OWNER_LEASE_S
                         or earlier.state.obeyed_by_most(earlier.now)):
                     granted_ms = earlier.state.workers[
                         entry.worker_id].lease_until(
                             workerstate.LEASE_MS, earlier.now)
                 earlier.report(entry.worker_id)
-            if n >= reached and silence_s > owner_mod.OWN_LEASE_S:
+            if n >= reached and silence_s > owner_mod.OWNER_LEASE_S:
                 later.state.add_worker(entry)
                 later.report(entry.worker_id)
         earlier.state.expire(earlier.now)
--- a/tests/test_fleet_takeover.py
+++ b/tests/test_fleet_takeover.py
@@ -7,9 +7,9 @@
 import pytest
 
 from sycamorefield.fleet import clock
+from sycamorefield.fleet import controlwatcher
 from sycamorefield.fleet import link as link_mod
 from sycamorefield.fleet import messages
-from sycamorefield.fleet import operatorview
 from sycamorefield.fleet import owner as owner_mod
 from sycamorefield.fleet import ownership as ownership_mod
 from sycamorefield.fleet import progress
@@ -31,7 +31,7 @@
     def __init__(self, workers: int = 2) -> None:
         self.store = fleetfakes.MemoryStore()
         entries = [fleetfakes.entry(n) for n in range(workers)]
-        self.roster = fleetfakes.MemoryRoster(entries)
+        self.worker_list = fleetfakes.MemoryRoster(entries)
         self.workers = {e.worker_id: fleetfakes.MemoryWorker(e.worker_id)
                         for e in entries}
         self.owner: owner_mod.Owner | None = None
@@ -44,7 +44,7 @@
         fence = self.store.commit(messages.Transaction(
             puts=(messages.Put(records.OWNER_KEY, b"me"),)))
         self.owner = owner_mod.Owner(
-            self.store, self.roster,
+            self.store, self.worker_list,
             lambda entry: self.workers[entry.worker_id],
             fleetfakes.configuration, fence, HOLD_MAX_MS)
         threading.Thread(target=self.owner.run, daemon=True).start()
@@ -185,7 +185,7 @@
     old = fleet.take_over()
     for worker in fleet.workers.values():
         worker.fence = old.fence + 100
-    wait_for(old.over.is_set)
+    wait_for(old.stepped_down.is_set)
 
 
 def test_cancelled_job_is_stopped_and_stays_cancelled(fleet):
@@ -258,7 +258,7 @@
     is cut and its history is gone.  Cause would be to go on from "now".
     """
     fleet.take_over()
-    wait_for(lambda: len(fleet.owner.roster.links) == 2)
+    wait_for(lambda: len(fleet.owner.worker_links.links) == 2)
     with fleet.store.lock:
         fleet.submit(fleetfakes.job("a"))
         fleet.store.compact()
@@ -296,7 +296,7 @@
 
 
 @pytest.mark.parametrize("doubt", [
-    Doubt(0.0, 1), Doubt(owner_mod.OWN_LEASE_S + 0.1, 0)])
+    Doubt(0.0, 1), Doubt(owner_mod.OWNER_LEASE_S + 0.1, 0)])
 def test_an_owner_in_doubt_starts_no_job_that_a_successor_may_start(doubt):
     """Leave what was stored after a successor's claim to the successor.
 
@@ -312,12 +312,12 @@
     wait_for(lambda: old.recovered and all(
         w.enrolled and w.reported for w in old.fleet.workers.values())
         and len(old.fleet.workers) == 2)
-    old.lease_renewed(clock.now() - doubt.renewed_s_ago)
+    old.note_lease_renewal(clock.now() - doubt.renewed_s_ago)
     fleet.submit(fleetfakes.job("a"))
     wait_for(lambda: "a" in old.fleet.jobs)
     time.sleep(0.3)
     assert len(fleet.starts()) == doubt.starts
-    old.lease_renewed(clock.now())
+    old.note_lease_renewal(clock.now())
     fleet.submit(fleetfakes.job("b"))
     wait_for(lambda: "b.0.0.0" in fleet.starts())
     old.step_down("test over")
@@ -326,10 +326,10 @@
 def test_jobs_held_back_in_doubt_start_once_the_lease_is_renewed(fleet):
     owner = fleet.take_over()
     wait_for(lambda: owner.recovered)
-    owner.lease_renewed(clock.now() - owner_mod.OWN_LEASE_S - 0.1)
+    owner.note_lease_renewal(clock.now() - owner_mod.OWNER_LEASE_S - 0.1)
     fleet.submit(fleetfakes.job("a"))
     wait_for(lambda: "a" in owner.fleet.jobs)
-    owner.lease_renewed(clock.now())
+    owner.note_lease_renewal(clock.now())
     wait_for(lambda: fleet.running() == ["a.0.0.0"])
 
 
@@ -356,9 +356,9 @@
     fence = fleet.store.commit(messages.Transaction(
         puts=(messages.Put(records.OWNER_KEY, b"me"),)))
     owner = owner_mod.Owner(
-        fleet.store, fleet.roster, lambda entry: None,
+        fleet.store, fleet.worker_list, lambda entry: None,
         fleetfakes.configuration, fence, HOLD_MAX_MS)
-    owner.roster.take_entries(fleet.roster.entries)
+    owner.worker_links.update_workers(fleet.worker_list.entries)
     assert owner.recorder.flush()
     away = owner.fleet.workers["i-0"]
     assert away.enrolled
@@ -371,7 +371,7 @@
     def unanswered(transaction):
         commit(transaction)
         monkeypatch.setattr(fleet.store, "commit", commit)
-        owner.roster.take_entries(fleet.roster.entries)
+        owner.worker_links.update_workers(fleet.worker_list.entries)
         enrolled.append(owner.fleet.workers["i-0"].enrolled)
         raise surroundings.CallFailed("no answer")
 
@@ -392,16 +392,16 @@
         self.fleet = fleet
         fleet.store.commit(messages.Transaction(
             puts=(messages.Put(CONFIG_KEY, b"any"),)))
-        view = operatorview.OperatorView(
+        watcher = controlwatcher.ControlWatcher(
             fleet.store, CONFIG_KEY, lambda _: fleetfakes.configuration())
         self.ownership = ownership_mod.Ownership(
-            fleet.store, view, "me", self.make_owner)
-        for target in (view.run, self.ownership.run):
+            fleet.store, watcher, "me", self.make_owner)
+        for target in (watcher.run, self.ownership.run):
             threading.Thread(target=target, daemon=True).start()
 
     def make_owner(self, fence: int) -> owner_mod.Owner:
         self.fleet.owner = owner_mod.Owner(
-            self.fleet.store, self.fleet.roster,
+            self.fleet.store, self.fleet.worker_list,
             lambda entry: self.fleet.workers[entry.worker_id],
             fleetfakes.configuration, fence, HOLD_MAX_MS)
         return self.fleet.owner
@@ -410,12 +410,13 @@
         """Cut the store off for longer than an owner goes on without it."""
         self.fleet.store.refuse = True
         owner = self.fleet.owner
-        owner.lease_renewed(clock.now() - recovery.WITHOUT_STORE_S - 1.0)
+        owner.note_lease_renewal(
+            clock.now() - recovery.MAX_STORE_OUTAGE_S - 1.0)
         wait_for(lambda: self.ownership.owner is None
-                 and not self.ownership.view.reachable)
+                 and not self.ownership.watcher.store_reachable)
 
     def stop(self) -> None:
-        self.ownership.view.stopped.set()
+        self.ownership.watcher.stopped.set()
         self.ownership.stop()
 
 
--- a/tests/test_fleet_terms.py
+++ b/tests/test_fleet_terms.py
@@ -5,9 +5,9 @@
 import pytest
 
 from sycamorefield.fleet import clock
+from sycamorefield.fleet import controlwatcher
 from sycamorefield.fleet import link as link_mod
 from sycamorefield.fleet import messages
-from sycamorefield.fleet import operatorview
 from sycamorefield.fleet import owner as owner_mod
 from sycamorefield.fleet import ownership as ownership_mod
 from sycamorefield.fleet import records
@@ -54,16 +54,16 @@
 def test_a_term_that_ends_while_it_reads_leaves_no_threads(fleet):
     """Links that begin after the term has ended must end as well."""
     owner = owner_mod.Owner(
-        fleet.store, fleet.roster,
+        fleet.store, fleet.worker_list,
         lambda entry: fleet.workers[entry.worker_id],
         fleetfakes.configuration, 99, HOLD_MAX_MS)
-    workers = fleet.roster.workers
+    workers = fleet.worker_list.workers
 
     def lost_meanwhile():
         owner.step_down("lease ended")
         return workers()
 
-    fleet.roster.workers = lost_meanwhile
+    fleet.worker_list.workers = lost_meanwhile
     before = set(threading.enumerate())
     owner.run()
     wait_for(lambda: not set(threading.enumerate()) - before)
@@ -71,10 +71,10 @@
 
 def make_ownership(store, make_owner):
     """Return a contender that sees the fleet as free."""
-    view = operatorview.OperatorView(store, "op/c",
-                                     lambda value: messages.Configuration())
-    view.known = view.owner_known = True
-    return ownership_mod.Ownership(store, view, "me", make_owner)
+    watcher = controlwatcher.ControlWatcher(
+        store, "op/c", lambda value: messages.Configuration())
+    watcher.configuration_known = watcher.owner_known = True
+    return ownership_mod.Ownership(store, watcher, "me", make_owner)
 
 
 class SlowGrant(fleetfakes.MemoryStore):
@@ -99,7 +99,8 @@
     def make_owner(fence):
         fleet = test_fleet_takeover.Fleet()
         made.append(owner_mod.Owner(
-            store, fleet.roster, lambda entry: fleet.workers[entry.worker_id],
+            store, fleet.worker_list,
+            lambda entry: fleet.workers[entry.worker_id],
             fleetfakes.configuration, fence, HOLD_MAX_MS))
         return made[-1]
 
@@ -142,7 +143,7 @@
     threading.Thread(target=run, daemon=True).start()
     try:
         wait_for(lambda: len(made) > 0)
-        wait_for(made[0].over.is_set)
+        wait_for(made[0].stepped_down.is_set)
         wait_for(lambda: len(made) > 1)
     finally:
         ours.stopped.set()
@@ -210,7 +211,7 @@
         fleetfakes.configuration, store.items[records.OWNER_KEY].revision,
         HOLD_MAX_MS)
     try:
-        owner.roster.take_entries(fleet.entries)
+        owner.worker_links.update_workers(fleet.entries)
         assert owner.recorder.flush()
         wait_for(lambda: all(w.usable(clock.now())
                              for w in owner.fleet.workers.values()))
@@ -218,7 +219,7 @@
             owner.fleet._gone(owner.fleet.workers["i-0"], "lease over")
 
         def listed_still():
-            owner.roster.take_entries(fleet.entries)
+            owner.worker_links.update_workers(fleet.entries)
             wait_for(lambda: owner.fleet.workers["i-0"].reported)
 
         store.meanwhile = listed_still
@@ -263,7 +264,7 @@
 
         def comes_back():
             fleet.submit(fleetfakes.job("a"))
-            fleet.owner.roster.take_entries(fleet.roster.entries)
+            fleet.owner.worker_links.update_workers(fleet.worker_list.entries)
             end = clock.now() + 1.0
             while clock.now() < end and "a.0.0.0" not in fleet.running():
                 threading.Event().wait(0.01)
--- a/tests/test_fleet_usage.py
+++ b/tests/test_fleet_usage.py
@@ -269,7 +269,7 @@
         test_fleet_takeover.wait_for(
             lambda: owner.gauges()["runs_ordered_total"] == 1)
         gauges = owner.gauges()
-        took = clock.now() - owner.began
+        took = clock.now() - owner.started_at
     finally:
         owner.step_down("test over")
     assert gauges["fence"] == fleet.store.items[
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -13,7 +13,7 @@
 import pydantic
 import pytest
 
-from sycamorefield.fleet import intake as intake_mod
+from sycamorefield.fleet import jobrequests as jobrequests_mod
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import records
 from sycamorefield.fleet import surroundings
@@ -277,7 +277,8 @@
         self.stopping = False
         self.store_silent = False
         self.front = front_mod.Front(
-            intake_mod.Intake(store, lambda: self.store_silent),
+            jobrequests_mod.JobRequestHandler(
+                store, lambda: self.store_silent),
             lambda: self.config, lambda: True,
             lambda: self.stopping, lambda: "metric 1\n")
 
