--- a/sycamorefield/fleet/controlwatcher.py
+++ b/sycamorefield/fleet/controlwatcher.py
@@ -55,10 +55,10 @@
     def _list_keys(self) -> int:
         listing = self.store.listing(records.WATCHED_PREFIX)
         self._note_store_answered()
-        present = {item.key: item for item in listing.items}
+        items_by_key = {item.key: item for item in listing.items}
         for item in listing.items:
             self._apply_configuration(item.key, item)
-        self._set_owner(present.get(records.OWNER_KEY), listing.revision)
+        self._set_owner(items_by_key.get(records.OWNER_KEY), listing.revision)
         return listing.revision
 
     def _watch_changes(self, revision: int) -> None:
--- a/sycamorefield/fleet/jobrequests.py
+++ b/sycamorefield/fleet/jobrequests.py
@@ -92,8 +92,9 @@
         """
         outcome = self._create_key(records.job_key(job.job_id),
                                    progress.encode_job(job), deadline)
-        event = {Accepted: events.JOB_STORED, Refused: events.JOB_REFUSED}
-        events.emit(event.get(type(outcome), events.JOB_UNCERTAIN),
+        event_types = {Accepted: events.JOB_STORED,
+                       Refused: events.JOB_REFUSED}
+        events.emit(event_types.get(type(outcome), events.JOB_UNCERTAIN),
                     job=job.job_id, queue=job.queue,
                     reason=getattr(outcome, "reason", ""))
         if isinstance(outcome, Accepted):
@@ -119,9 +120,9 @@
         later try must not be passed on as "not stored".
         """
         if self.last_call_unanswered or self.store_unresponsive():
-            known = self._read_before_write(key)
-            if known is not None:
-                return known
+            outcome = self._read_before_write(key)
+            if outcome is not None:
+                return outcome
         transaction = messages.Transaction(
             (messages.Expect(key, 0),), (messages.Put(key, value),))
         uncertain = False
--- a/sycamorefield/fleet/jobwatcher.py
+++ b/sycamorefield/fleet/jobwatcher.py
@@ -28,7 +28,7 @@
         while not self.stepped_down.is_set():
             revision = self._watch(revision)
 
-    def _watch(self, after: int) -> int:
+    def _watch(self, after_revision: int) -> int:
         """Take in new jobs and cancellations; return where to go on.
 
         An answer without changes moves nothing on: a watch may have been
@@ -36,29 +36,30 @@
         change seen brings them, or shows that the history is gone.
         """
         try:
-            response = self.store.watch(records.JOB_PREFIX, after,
+            response = self.store.watch(records.JOB_PREFIX, after_revision,
                                         WATCH_WAIT_MS)
             for change in response.changes:
                 if change.item is None:
                     continue
                 self._add_and_log(change.item)
                 self.apply_cancellation(change.key)
-            return max([after] + [c.revision for c in response.changes])
+            return max([after_revision]
+                       + [c.revision for c in response.changes])
         except surroundings.HistoryGone:
-            return self._list_again(after)
+            return self._list_again(after_revision)
         except surroundings.CallFailed as exc:
             events.emit(events.STORE_LOST, reason=f"inbox: {exc}")
             self.stepped_down.wait(RETRY_PAUSE_S)
-            return self._list_again(after)
+            return self._list_again(after_revision)
 
-    def _list_again(self, after: int) -> int:
+    def _list_again(self, after_revision: int) -> int:
         """Read all jobs again: a watch that was cut may have gone deaf."""
         try:
             listing = self.store.listing(records.JOB_PREFIX)
         except surroundings.CallFailed as exc:
             events.emit(events.STORE_LOST, reason=f"inbox: {exc}")
             self.stepped_down.wait(RETRY_PAUSE_S)
-            return after
+            return after_revision
         for item in listing.items:
             self._add_and_log(item)
         for item in listing.items:
@@ -82,9 +83,9 @@
             events.emit(events.RECORD_UNREADABLE, key=item.key,
                         reason=str(exc))
             return None
-        known = job.job_id in self.fleet.jobs
+        is_known = job.job_id in self.fleet.jobs
         self.fleet.add_job(job, item.created)
-        return None if known else job
+        return None if is_known else job
 
     def apply_cancellation(self, key: str) -> None:
         """Cancel the job that a key names, if it is a cancellation's."""
--- a/sycamorefield/fleet/owner.py
+++ b/sycamorefield/fleet/owner.py
@@ -165,10 +165,10 @@
             "runs_ordered_total": float(self.fleet.run_log.ordered_total),
             "runs_ended_total": float(self.fleet.run_log.ended_total)}
         if self.usage is not None:
-            figures = dataclasses.asdict(self.usage)
-            for priority, count in figures.pop("waiting").items():
+            usage_gauges = dataclasses.asdict(self.usage)
+            for priority, count in usage_gauges.pop("waiting").items():
                 gauges[f'tasks_waiting{{priority="{priority}"}}'] = count
-            gauges.update(figures)
+            gauges.update(usage_gauges)
         return gauges
 
     def _run_guarded(self, target: typing.Callable[[], None]) -> None:
@@ -212,13 +212,13 @@
                 logged_at = clock.now()
                 times = self._log_usage(times)
 
-    def _log_usage(self, earlier: usage_mod.RoundTimes
+    def _log_usage(self, previous_times: usage_mod.RoundTimes
                    ) -> usage_mod.RoundTimes:
         """Log how full the fleet is; return the rounds counted so far."""
         self.usage = usage_mod.measure(self.fleet, clock.now())
         times = dataclasses.replace(self.round_times)
         events.emit(events.FLEET_USAGE, **dataclasses.asdict(self.usage),
-                    **times.since(earlier), fence=self.fence,
+                    **times.since(previous_times), fence=self.fence,
                     lease_age_s=round(clock.now() - self.lease_renewed_at, 3))
         return times
 
--- a/sycamorefield/fleet/workerlinks.py
+++ b/sycamorefield/fleet/workerlinks.py
@@ -69,16 +69,16 @@
     def _add_worker(self, entry: messages.WorkerEntry
                     ) -> link_mod.WorkerLink | None:
         """Take up a worker; return its link if it is a new one."""
-        old = self.links.get(entry.worker_id)
+        old_link = self.links.get(entry.worker_id)
         if not self.fleet.add_worker(entry):
             return None
-        if old is not None:
-            old.close()
+        if old_link is not None:
+            old_link.close()
         link = link_mod.WorkerLink(
             entry, self.connect(entry), self.fleet, self.may_act,
             self.may_lease, self.step_down)
-        if old is not None:
-            link.recorded_upto = old.recorded_upto
+        if old_link is not None:
+            link.recorded_upto = old_link.recorded_upto
         self.links[entry.worker_id] = link
         return link
 
--- a/tests/test_fleet_machine.py
+++ b/tests/test_fleet_machine.py
@@ -38,23 +38,24 @@
 PROCESSES = 2
 CAPACITY = 4000
 HOLD_MAX_MS = 6000.0
-ROOMS = (2000, 3000, CAPACITY)
+CPU_CAPACITIES = (2000, 3000, CAPACITY)
 # A room that has shrunk counts after this.
-SHRUNK_COUNTS_S = 4.1
+SHRUNK_CAPACITY_DELAY_S = 4.1
 # The spec of jobs whose tasks crash the workers that start them, and how
 # often such a task may be started once three workers have crashed.
-CRASHES = "crashes its workers"
-CRASHES_ALLOWED = 3
-MORE_STARTS = 2
+CRASHING_SPEC = "crashes its workers"
+MAX_CRASHES = 3
+MAX_EXTRA_STARTS = 2
 # Events that would end most work if they came as often as others.
-SELDOM = strategies.sampled_from([False, False, False, False, True])
+RARELY = strategies.sampled_from([False, False, False, False, True])
 # How long a split lasts: longer than the earlier owner's leases.
-SPLIT_S = 14
+PARTITION_S = 14
 # What belongs to one term of an owner.
-TERM = ("fleet", "recorder", "process", "acting", "renewed", "silent",
-        "commit", "sent")
+TERM_ATTRIBUTES = (
+    "fleet", "recorder", "process", "has_owner", "lease_renewed_at",
+    "store_down", "commit", "orders_in_flight")
 # What becomes of a call to the store.
-FATES = strategies.sampled_from(
+CALL_OUTCOMES = strategies.sampled_from(
     ["answered", "answered", "answer lost", "lost", "late"])
 STEPS = (
     (messages.Step(2, messages.Room(2500, 10)),),
@@ -67,7 +68,7 @@
 
 
 @dataclasses.dataclass
-class Sent:
+class SentOrder:
     """An order on its way, with the fence and lease it carries."""
 
     worker_id: str
@@ -79,7 +80,7 @@
 
 
 @dataclasses.dataclass
-class Commit:
+class PendingCommit:
     """Hold a commit whose outcome isn't known, and the ends it stores."""
 
     values: list[recorder_mod.Value]
@@ -93,27 +94,28 @@
         self.entry = entry
         self.alive = True
         # Processors it has had, and from when on.
-        self.rooms = [(-100.0, entry.capacity.cpu)]
+        self.capacity_history = [(-100.0, entry.capacity.cpu)]
         self.fence = 0
         self.lease_end_ms = 0.0
         self.runs: dict[tuple[messages.TaskId, int], messages.Room] = {}
-        self.over: dict[messages.TaskId, int] = {}
+        self.last_ended_run: dict[messages.TaskId, int] = {}
         self.ended: list[messages.EndedTask] = []
-        self.number = 0
+        self.last_end_number = 0
 
-    def room_since(self, at: float) -> int:
+    def max_cpu_since(self, at: float) -> int:
         """Return the most processors it has had since a time."""
-        last = max(begun for begun, _ in self.rooms if begun <= at)
-        return max(cpu for begun, cpu in self.rooms if begun >= last)
+        last = max(begun for begun, _ in self.capacity_history if begun <= at)
+        return max(cpu for begun, cpu in self.capacity_history
+                   if begun >= last)
 
     def end(self, key: tuple[messages.TaskId, int], how: str) -> None:
         """End one run."""
         del self.runs[key]
         task, run = key
-        self.over[task] = max(self.over.get(task, 0), run)
-        self.number += 1
-        self.ended.append(messages.EndedTask(self.number, task, run, how,
-                                             "saved"))
+        self.last_ended_run[task] = max(self.last_ended_run.get(task, 0), run)
+        self.last_end_number += 1
+        self.ended.append(messages.EndedTask(self.last_end_number, task, run,
+                                             how, "saved"))
 
 
 class FleetMachine(stateful.RuleBasedStateMachine):
@@ -126,36 +128,36 @@
         clock.now = lambda: self.now
         # Crashes under tasks, later starts of them, and crashes that an
         # owner can't know of as it changed before it noticed them.
-        self.crashed_under: dict[messages.TaskId, int] = {}
-        self.more_starts: dict[messages.TaskId, int] = {}
-        self.unnoticed: dict[str, messages.TaskId] = {}
-        self.excused: dict[messages.TaskId, int] = {}
+        self.crash_counts: dict[messages.TaskId, int] = {}
+        self.extra_starts: dict[messages.TaskId, int] = {}
+        self.undetected_crashes: dict[str, messages.TaskId] = {}
+        self.undetectable_crashes: dict[messages.TaskId, int] = {}
         self.incarnation = 0
         self.workers: dict[str, SimulatedWorker] = {}
         self.jobs: list[messages.Job] = []
-        self.sent: list[Sent] = []
-        self.late: list[Sent] = []
+        self.orders_in_flight: list[SentOrder] = []
+        self.delayed_orders: list[SentOrder] = []
         # Tasks that ended as done; those of them whose end the worker may
         # forget; and those whose worker lists the end and kept its lease.
         self.done: set[messages.TaskId] = set()
-        self.known_done: set[messages.TaskId] = set()
-        self.listed_done: dict[messages.TaskId, str] = {}
-        self.started_again: set[messages.TaskId] = set()
+        self.acknowledged_done: set[messages.TaskId] = set()
+        self.reported_done: dict[messages.TaskId, str] = {}
+        self.restarted_after_end: set[messages.TaskId] = set()
         self.store = fleetfakes.MemoryStore()
         self.processes = [self._process(f"p{n}") for n in range(PROCESSES)]
         # Whether there is an owner that gives orders, and which process it
         # is of.
-        self.acting = False
+        self.has_owner = False
         self.process = self.processes[0]
-        self.renewed = self.now
-        self.silent = False
-        self.commit: Commit | None = None
+        self.lease_renewed_at = self.now
+        self.store_down = False
+        self.commit: PendingCommit | None = None
         # The term of an owner that was cut off and may still act.
-        self.earlier: dict[str, typing.Any] = {}
+        self.partitioned_term: dict[str, typing.Any] = {}
         for place in range(WORKERS):
             self._new_worker(place)
         self._take_over(0, "answered")
-        self.routine()
+        self.report_store_and_place()
         self.submit(STEPS[1])
 
     def teardown(self) -> None:
@@ -189,35 +191,37 @@
 
     def _step_down(self, *_: str) -> None:
         """Give no more orders; calls under way may be carried out late."""
-        if not self.acting:
+        if not self.has_owner:
             return
-        self.acting = False
+        self.has_owner = False
         self.commit = None
-        for sent in self.sent:
-            if isinstance(sent.order, messages.StartOrder):
-                sent.until_ms = self._lease(sent.worker_id) or 0.0
-        self.late += self.sent
-        self.sent = []
-
-    def _swap(self) -> None:
-        now = {name: getattr(self, name) for name in TERM}
-        for name, value in self.earlier.items():
+        for sent_order in self.orders_in_flight:
+            if isinstance(sent_order.order, messages.StartOrder):
+                sent_order.until_ms = self._grant_lease(
+                    sent_order.worker_id) or 0.0
+        self.delayed_orders += self.orders_in_flight
+        self.orders_in_flight = []
+
+    def _swap_terms(self) -> None:
+        now = {name: getattr(self, name) for name in TERM_ATTRIBUTES}
+        for name, value in self.partitioned_term.items():
             setattr(self, name, value)
-        self.earlier = now
+        self.partitioned_term = now
 
     @contextlib.contextmanager
-    def _as_earlier(self) -> typing.Iterator[bool]:
+    def _as_partitioned_owner(self) -> typing.Iterator[bool]:
         """Act as the owner that was cut off; tell whether it still acts."""
-        if not self.earlier:
+        if not self.partitioned_term:
             yield False
             return
-        self._swap()
+        self._swap_terms()
         try:
-            yield self.acting
+            yield self.has_owner
         finally:
-            self._swap()
+            self._swap_terms()
 
-    def _claim(self, process: ownership_mod.Ownership, fate: str) -> int:
+    def _claim(self, process: ownership_mod.Ownership,
+               call_outcome: str) -> int:
         """Let a process that may claim the fleet do so; return the fence."""
         owner = self.store.items.get(records.OWNER_KEY)
         if owner is not None and owner.value != process.identity:
@@ -225,7 +229,7 @@
             for lease, keys in list(self.store.leases.items()):
                 if records.OWNER_KEY in keys:
                     self.store.end_lease(lease)
-        self._set_fate(fate)
+        self._set_commit_outcome(call_outcome)
         fence = 0
         while not fence:
             process.watcher.owner_item = self.store.items.get(
@@ -236,22 +240,23 @@
                 continue
         return fence
 
-    def _set_fate(self, fate: str) -> None:
+    def _set_commit_outcome(self, call_outcome: str) -> None:
         """Choose what becomes of the next commit."""
-        self.store.lose_answers = int(fate == "answer lost")
-        self.store.lose_calls = int(fate == "lost")
-        self.store.keep_late = int(fate == "late")
+        self.store.lose_answers = int(call_outcome == "answer lost")
+        self.store.lose_calls = int(call_outcome == "lost")
+        self.store.keep_late = int(call_outcome == "late")
 
-    def _take_over(self, number: int, fate: str) -> None:
+    def _take_over(self, number: int, call_outcome: str) -> None:
         self._step_down()
-        for task in self.unnoticed.values():
-            self.excused[task] = self.excused.get(task, 0) + 1
-        fence = self._claim(self.processes[number], fate)
+        for task in self.undetected_crashes.values():
+            self.undetectable_crashes[task] = self.undetectable_crashes.get(
+                task, 0) + 1
+        fence = self._claim(self.processes[number], call_outcome)
         self.process = self.processes[number]
-        self.acting = True
+        self.has_owner = True
         self.fleet = state_mod.FleetState(
             fence, HOLD_MAX_MS, self._send, fleetfakes.configuration)
-        self._renewed()
+        self._renew_owner_lease()
         self.recorder = recorder_mod.Recorder(
             self.store, self.fleet, records.OWNER_KEY, lambda: True,
             self._step_down, lambda _: None)
@@ -272,8 +277,8 @@
         state.known_at = self.now
         return state
 
-    def _renewed(self) -> None:
-        self.renewed = self.now
+    def _renew_owner_lease(self) -> None:
+        self.lease_renewed_at = self.now
         self.fleet.leased_until = self.now + owner_mod.OWNER_LEASE_S
 
     def _read_progress(self, state: progress.JobState) -> None:
@@ -289,33 +294,35 @@
             self.fleet.trials.inherit(state, self.now)
 
     def _expect_workers(self) -> None:
-        in_use: dict[str, str] = {}
+        stored_addresses: dict[str, str] = {}
         item = self.store.items.get(records.FLEET_KEY)
         if item is not None:
-            in_use = records.decode_mapping(item.value)
+            stored_addresses = records.decode_mapping(item.value)
             self.recorder.revisions[records.FLEET_KEY] = item.revision
-            self.recorder.addresses = in_use
-        self.fleet.expect(in_use, self.now + recovery.MAX_STORE_OUTAGE_S
-                          + workerstate.LEASE_OVER_S)
-        self._read_list()
-        self.fleet.enrol(in_use)
-
-    def _read_list(self) -> None:
+            self.recorder.addresses = stored_addresses
+        self.fleet.expect(
+            stored_addresses, self.now + recovery.MAX_STORE_OUTAGE_S
+            + workerstate.LEASE_OVER_S)
+        self._read_worker_list()
+        self.fleet.enrol(stored_addresses)
+
+    def _read_worker_list(self) -> None:
         """Read the list of workers; crashed ones stay on it for a while."""
         entries = [w.entry for w in self.workers.values()
-                   if w.alive or w.entry.worker_id in self.unnoticed]
+                   if w.alive or w.entry.worker_id in self.undetected_crashes]
         for entry in entries:
             self.fleet.add_worker(entry)
         self.fleet.unlist({e.worker_id for e in entries}, self.now)
 
     def _send(self, worker_id: str, order: state_mod.Order) -> None:
-        self.sent.append(Sent(worker_id, order, self.fleet.fence, 0.0))
+        self.orders_in_flight.append(
+            SentOrder(worker_id, order, self.fleet.fence, 0.0))
 
     def _may_lease(self) -> bool:
-        return (self.now - self.renewed <= owner_mod.OWNER_LEASE_S
+        return (self.now - self.lease_renewed_at <= owner_mod.OWNER_LEASE_S
                 or self.fleet.obeyed_by_most(self.now))
 
-    def _lease(self, worker_id: str) -> float | None:
+    def _grant_lease(self, worker_id: str) -> float | None:
         state = self.fleet.workers.get(worker_id)
         if state is None or state.silent or not self._may_lease():
             return None
@@ -323,69 +330,71 @@
 
     # What workers check
 
-    def _carry_out(self, sent: Sent) -> str:
+    def _execute_order(self, sent_order: SentOrder) -> str:
         """Carry out an order; return why not, or nothing."""
-        worker = self.workers[sent.worker_id]
+        worker = self.workers[sent_order.worker_id]
         if not worker.alive:
             return "gone"
-        if sent.fence < worker.fence:
+        if sent_order.fence < worker.fence:
             return surroundings.FENCED
-        worker.fence = sent.fence
-        order = sent.order
+        worker.fence = sent_order.fence
+        order = sent_order.order
         if isinstance(order, messages.PaceOrder):
             return ""
         key = (order.task, order.run)
         if isinstance(order, messages.StopOrder):
-            worker.over[order.task] = max(worker.over.get(order.task, 0),
-                                          order.run)
+            worker.last_ended_run[order.task] = max(
+                worker.last_ended_run.get(order.task, 0), order.run)
             if key in worker.runs:
                 worker.end(key, "stopped")
             return ""
-        return self._start(worker, key, sent)
+        return self._start(worker, key, sent_order)
 
     def _start(self, worker: SimulatedWorker,
-               key: tuple[messages.TaskId, int], sent: Sent) -> str:
+               key: tuple[messages.TaskId, int], sent_order: SentOrder) -> str:
         if key in worker.runs:
             return ""
         task, run = key
-        if (run <= worker.over.get(task, 0)
+        if (run <= worker.last_ended_run.get(task, 0)
                 or any(t == task for t, _ in worker.runs)):
             return surroundings.OLD_RUN
-        if sent.until_ms <= self.now * 1000.0:
+        if sent_order.until_ms <= self.now * 1000.0:
             return surroundings.LATE
-        worker.lease_end_ms = max(worker.lease_end_ms, sent.until_ms)
+        worker.lease_end_ms = max(worker.lease_end_ms, sent_order.until_ms)
         step = self._job(task).steps[task.step]
         worker.runs[key] = step.reserved()
-        self._check_start(worker, task, step, sent.at)
-        if self._job(task).spec == CRASHES:
+        self._check_start(worker, task, step, sent_order.at)
+        if self._job(task).spec == CRASHING_SPEC:
             self._count_crash(task)
             self._end_worker(worker)
-            self.unnoticed[worker.entry.worker_id] = task
+            self.undetected_crashes[worker.entry.worker_id] = task
         return ""
 
     def _count_crash(self, task: messages.TaskId) -> None:
-        if self.crashed_under.get(task, 0) >= CRASHES_ALLOWED:
-            more = self.more_starts.get(task, 0) + 1
-            self.more_starts[task] = more
-            assert more <= MORE_STARTS + self.excused.get(task, 0), (
+        if self.crash_counts.get(task, 0) >= MAX_CRASHES:
+            extra = self.extra_starts.get(task, 0) + 1
+            self.extra_starts[task] = extra
+            assert (extra <= MAX_EXTRA_STARTS
+                    + self.undetectable_crashes.get(task, 0)), (
                 f"{task} is not given up")
-        self.crashed_under[task] = self.crashed_under.get(task, 0) + 1
+        self.crash_counts[task] = self.crash_counts.get(task, 0) + 1
 
     def _check_start(self, worker: SimulatedWorker, task: messages.TaskId,
                      step: messages.Step, sent_at: float) -> None:
         used = sum(room.cpu for room in worker.runs.values())
-        limit = worker.room_since(sent_at - SHRUNK_COUNTS_S)
+        limit = worker.max_cpu_since(sent_at - SHRUNK_CAPACITY_DELAY_S)
         assert used <= limit, f"{worker.entry.worker_id} is overfilled"
         places = [w.entry.worker_id for w in self._alive()
                   for t, _ in w.runs if t == task]
         assert len(places) == 1, f"{task} runs on {places}"
-        assert task not in self.known_done, f"{task} starts after its end"
-        if task in self.listed_done:
-            self.started_again.add(task)
+        assert task not in self.acknowledged_done, (
+            f"{task} starts after its end")
+        if task in self.reported_done:
+            self.restarted_after_end.add(task)
         job = self._job(task)
-        for earlier in step.after:
-            for number in range(job.steps[earlier].count):
-                assert task._replace(step=earlier,
+        for earlier_step in step.after:
+            for number in range(job.steps[earlier_step].count):
+                assert task._replace(step=earlier_step,
                                      number=number) in self.done
 
     def _job(self, task: messages.TaskId) -> messages.Job:
@@ -395,11 +404,11 @@
 
     def _store_key(self, key: str, value: bytes) -> int:
         """Write a key as an entry process does."""
-        self._set_fate("answered")
+        self._set_commit_outcome("answered")
         return self.store.commit(messages.Transaction(
             puts=(messages.Put(key, value),)))
 
-    @stateful.precondition(lambda self: not self.silent)
+    @stateful.precondition(lambda self: not self.store_down)
     @stateful.rule(steps=strategies.sampled_from(STEPS))
     def submit(self, steps: tuple[messages.Step, ...]) -> None:
         self._submit(fleetfakes.job(f"j{len(self.jobs)}", *steps))
@@ -408,17 +417,17 @@
         self.jobs.append(job)
         created = self._store_key(records.job_key(job.job_id),
                                   progress.encode_job(job))
-        if self.acting:
+        if self.has_owner:
             self._add_job(job, created)
 
-    @stateful.precondition(lambda self: self.jobs and not self.silent)
-    @stateful.rule(data=strategies.data(), happens=SELDOM)
-    def cancel(self, data: strategies.DataObject, happens: bool) -> None:
-        if not happens:
+    @stateful.precondition(lambda self: self.jobs and not self.store_down)
+    @stateful.rule(data=strategies.data(), applies=RARELY)
+    def cancel(self, data: strategies.DataObject, applies: bool) -> None:
+        if not applies:
             return
         job = data.draw(strategies.sampled_from(self.jobs))
         self._store_key(records.cancel_key(job.job_id), b"1")
-        if self.acting:
+        if self.has_owner:
             self.fleet.cancel(job.job_id)
 
     @stateful.rule(seconds=strategies.sampled_from(
@@ -427,107 +436,112 @@
         self.now += seconds
         for worker in self._alive():
             if worker.lease_end_ms <= self.now * 1000.0:
-                self._lapse(worker)
-        self._owner_waits()
-        with self._as_earlier():
-            self._owner_waits()
+                self._expire_lease(worker)
+        self._advance_owner()
+        with self._as_partitioned_owner():
+            self._advance_owner()
 
-    def _owner_waits(self) -> None:
-        if not self.acting:
+    def _advance_owner(self) -> None:
+        if not self.has_owner:
             return
-        if not self.silent:
-            self._renewed()
-            self._read_list()
-        if self.now - self.renewed > recovery.MAX_STORE_OUTAGE_S:
+        if not self.store_down:
+            self._renew_owner_lease()
+            self._read_worker_list()
+        if self.now - self.lease_renewed_at > recovery.MAX_STORE_OUTAGE_S:
             self._step_down()
             return
         self.fleet.expire(self.now)
 
-    def _lapse(self, worker: SimulatedWorker) -> None:
+    def _expire_lease(self, worker: SimulatedWorker) -> None:
         for key in list(worker.runs):
             worker.end(key, "lapsed")
-        for task, worker_id in list(self.listed_done.items()):
+        for task, worker_id in list(self.reported_done.items()):
             if worker_id == worker.entry.worker_id:
-                del self.listed_done[task]
-                self.started_again.discard(task)
+                del self.reported_done[task]
+                self.restarted_after_end.discard(task)
 
-    @stateful.precondition(lambda self: not self.silent)
-    @stateful.rule(happens=SELDOM)
-    def store_falls_silent(self, happens: bool) -> None:
-        self.silent = self.store.refuse = happens
+    @stateful.precondition(lambda self: not self.store_down)
+    @stateful.rule(applies=RARELY)
+    def store_becomes_unreachable(self, applies: bool) -> None:
+        self.store_down = self.store.refuse = applies
 
-    @stateful.precondition(lambda self: self.silent and self.acting)
+    @stateful.precondition(lambda self: self.store_down and self.has_owner)
     @stateful.rule(data=strategies.data())
-    def silence_outlasts_the_owner(self, data: strategies.DataObject
-                                   ) -> None:
+    def outage_outlasts_the_owner(self, data: strategies.DataObject
+                                  ) -> None:
         """Let the owner go on with most workers until it steps down."""
         heard = data.draw(strategies.permutations(self._alive()))[1:]
-        while self.acting:
+        while self.has_owner:
             self.pass_time(1.0)
-            for worker in heard if self.acting else ():
+            for worker in heard if self.has_owner else ():
                 self._report(worker, True)
 
-    @stateful.precondition(lambda self: self.silent)
+    @stateful.precondition(lambda self: self.store_down)
     @stateful.rule(lease_ended=strategies.booleans())
-    def store_answers(self, lease_ended: bool) -> None:
+    def store_recovers(self, lease_ended: bool) -> None:
         """Let the store return; its leases paused, or ran out."""
-        self.silent = self.store.refuse = False
+        self.store_down = self.store.refuse = False
         if lease_ended:
             self.store.end_lease(self.process.lease_id)
             self._step_down()
 
-    @stateful.precondition(lambda self: self.acting and not self.silent)
+    @stateful.precondition(lambda self: self.has_owner and not self.store_down)
     @stateful.rule(data=strategies.data(), lease_ended=strategies.booleans(),
-                   number=strategies.integers(0, PROCESSES - 1), fate=FATES)
-    def long_silence(self, data: strategies.DataObject, lease_ended: bool,
-                     number: int, fate: str) -> None:
+                   number=strategies.integers(0, PROCESSES - 1),
+                   call_outcome=CALL_OUTCOMES)
+    def takeover_after_store_outage(
+            self, data: strategies.DataObject, lease_ended: bool, number: int,
+            call_outcome: str) -> None:
         """Change owners by a silence, and let the new one hear a worker."""
-        self.store_falls_silent(True)
-        self.silence_outlasts_the_owner(data)
+        self.store_becomes_unreachable(True)
+        self.outage_outlasts_the_owner(data)
         self.run_ends(data, "done")
-        self.store_answers(lease_ended)
-        self._take_over(number, fate)
+        self.store_recovers(lease_ended)
+        self._take_over(number, call_outcome)
         self.report(data, True)
         self._place()
         self.all_orders_arrive()
 
-    @stateful.precondition(lambda self: self.acting and not self.silent)
-    @stateful.rule(data=strategies.data(), fate=FATES)
-    def split(self, data: strategies.DataObject, fate: str) -> None:
+    @stateful.precondition(lambda self: self.has_owner and not self.store_down)
+    @stateful.rule(data=strategies.data(), call_outcome=CALL_OUTCOMES)
+    def network_partition(self, data: strategies.DataObject,
+                          call_outcome: str) -> None:
         """Cut an owner off with some workers, and let another take over."""
         workers = data.draw(strategies.permutations(self._alive()))
         reached = data.draw(strategies.integers(0, WORKERS))
-        self.silent = True
+        self.store_down = True
         for _ in range(3):
             self.pass_time(0.8)
-            self._hear(workers[:reached], workers[reached:])
-        self.earlier = {name: getattr(self, name) for name in TERM}
-        self.acting = self.silent = False
-        self.sent, self.commit = [], None
-        self._take_over(1 - self.processes.index(self.process), fate)
-        for _ in range(SPLIT_S):
+            self._exchange(workers[:reached], workers[reached:])
+        self.partitioned_term = {name: getattr(
+            self, name) for name in TERM_ATTRIBUTES}
+        self.has_owner = self.store_down = False
+        self.orders_in_flight, self.commit = [], None
+        self._take_over(1 - self.processes.index(self.process), call_outcome)
+        for _ in range(PARTITION_S):
             self.pass_time(1.0)
-            with self._as_earlier():
-                self._hear(workers[:reached], workers[reached:])
-            self._hear(workers[reached:], workers[:reached])
+            with self._as_partitioned_owner():
+                self._exchange(workers[:reached], workers[reached:])
+            self._exchange(workers[reached:], workers[:reached])
 
-    def _hear(self, heard: list[SimulatedWorker],
-              silent: list[SimulatedWorker]) -> None:
+    def _exchange(self, reached: list[SimulatedWorker],
+                  unreached: list[SimulatedWorker]) -> None:
         """Let an owner reach some workers, and act."""
-        for worker in heard if self.acting else ():
+        for worker in reached if self.has_owner else ():
             self._report(worker, True)
-        for worker in silent if self.acting else ():
+        for worker in unreached if self.has_owner else ():
             self.fleet.worker_silent(worker.entry.worker_id, "cut")
-        if self.acting:
+        if self.has_owner:
             self._place()
             self.all_orders_arrive()
 
-    @stateful.precondition(lambda self: self.earlier.get("acting"))
+    @stateful.precondition(
+        lambda self: self.partitioned_term.get("has_owner"))
     @stateful.rule(data=strategies.data())
-    def earlier_owner_goes_on(self, data: strategies.DataObject) -> None:
+    def partitioned_owner_acts(self, data: strategies.DataObject) -> None:
         worker = data.draw(strategies.sampled_from(self._alive()))
-        with self._as_earlier():
-            self._hear([worker], [])
+        with self._as_partitioned_owner():
+            self._exchange([worker], [])
 
     @stateful.precondition(lambda self: self.store.late)
     @stateful.rule()
@@ -538,96 +552,96 @@
         if self._may_lease():
             rounds.place(self.fleet, self.now, 1e12)
 
-    @stateful.precondition(lambda self: self.acting)
+    @stateful.precondition(lambda self: self.has_owner)
     @stateful.rule()
     def place(self) -> None:
         self._place()
 
-    @stateful.precondition(lambda self: self.acting)
+    @stateful.precondition(lambda self: self.has_owner)
     @stateful.rule()
-    def routine(self) -> None:
+    def report_store_and_place(self) -> None:
         """Let all workers report, store what came, and place."""
         for worker in self._alive():
             self._report(worker, True)
-        self.record("answered")
+        self.store_progress("answered")
         self.now += 0.1
-        if self.acting:
+        if self.has_owner:
             self._place()
 
-    @stateful.precondition(lambda self: self.jobs and self.acting)
+    @stateful.precondition(lambda self: self.jobs and self.has_owner)
     @stateful.rule()
-    def calm(self) -> None:
+    def deliver_everything(self) -> None:
         """Let all go well for a moment."""
-        self.routine()
+        self.report_store_and_place()
         self.all_orders_arrive()
 
-    @stateful.precondition(lambda self: self.sent)
+    @stateful.precondition(lambda self: self.orders_in_flight)
     @stateful.rule()
     def all_orders_arrive(self) -> None:
-        for _ in range(len(self.sent)):
+        for _ in range(len(self.orders_in_flight)):
             self.order_arrives("answered")
 
-    @stateful.precondition(lambda self: self.sent)
-    @stateful.rule(fate=strategies.sampled_from(
+    @stateful.precondition(lambda self: self.orders_in_flight)
+    @stateful.rule(call_outcome=strategies.sampled_from(
         ["answered", "answered", "answer lost", "lost", "late", "late"]))
-    def order_arrives(self, fate: str) -> None:
+    def order_arrives(self, call_outcome: str) -> None:
         """Let the oldest order arrive, or not, as a link sends it."""
-        if not self.sent:
+        if not self.orders_in_flight:
             return
-        sent = self.sent.pop(0)
-        if isinstance(sent.order, messages.StartOrder):
-            self._start_arrives(sent, fate)
-        elif fate in ("answered", "answer lost"):
-            reason = self._carry_out(sent)
-            if fate == "answered" and not reason and isinstance(
-                    sent.order, messages.StopOrder):
-                answers.stopped(self.fleet, sent.worker_id,
-                                sent.order, self.now)
-            if (fate == "answer lost" and isinstance(
-                    sent.order, messages.StopOrder)):
-                self.sent.append(sent)
-        elif isinstance(sent.order, messages.StopOrder):
-            self.sent.append(sent)
-            if fate == "late":
-                self.late.append(sent)
-
-    def _start_arrives(self, sent: Sent, fate: str) -> None:
-        order = sent.order
+        sent_order = self.orders_in_flight.pop(0)
+        if isinstance(sent_order.order, messages.StartOrder):
+            self._start_arrives(sent_order, call_outcome)
+        elif call_outcome in ("answered", "answer lost"):
+            reason = self._execute_order(sent_order)
+            if call_outcome == "answered" and not reason and isinstance(
+                    sent_order.order, messages.StopOrder):
+                answers.stopped(self.fleet, sent_order.worker_id,
+                                sent_order.order, self.now)
+            if (call_outcome == "answer lost" and isinstance(
+                    sent_order.order, messages.StopOrder)):
+                self.orders_in_flight.append(sent_order)
+        elif isinstance(sent_order.order, messages.StopOrder):
+            self.orders_in_flight.append(sent_order)
+            if call_outcome == "late":
+                self.delayed_orders.append(sent_order)
+
+    def _start_arrives(self, sent_order: SentOrder, call_outcome: str) -> None:
+        order = sent_order.order
         assert isinstance(order, messages.StartOrder)
-        if not answers.still_wanted(self.fleet, sent.worker_id, order):
+        if not answers.still_wanted(self.fleet, sent_order.worker_id, order):
             return
-        until = self._lease(sent.worker_id)
+        until = self._grant_lease(sent_order.worker_id)
         if until is None:
-            answers.rejected(self.fleet, sent.worker_id, order, "no lease",
-                             self.now)
+            answers.rejected(self.fleet, sent_order.worker_id, order,
+                             "no lease", self.now)
             return
-        sent.until_ms = until
-        sent.at = self.now
-        if fate in ("lost", "late"):
-            if fate == "late":
-                self.late.append(sent)
-            answers.uncertain(self.fleet, sent.worker_id, order)
+        sent_order.until_ms = until
+        sent_order.at = self.now
+        if call_outcome in ("lost", "late"):
+            if call_outcome == "late":
+                self.delayed_orders.append(sent_order)
+            answers.uncertain(self.fleet, sent_order.worker_id, order)
             return
-        reason = self._carry_out(sent)
+        reason = self._execute_order(sent_order)
         if reason == surroundings.FENCED:
             self._step_down()
-        elif fate == "answer lost" or reason == "gone":
-            answers.uncertain(self.fleet, sent.worker_id, order)
+        elif call_outcome == "answer lost" or reason == "gone":
+            answers.uncertain(self.fleet, sent_order.worker_id, order)
         elif reason:
-            answers.rejected(self.fleet, sent.worker_id,
+            answers.rejected(self.fleet, sent_order.worker_id,
                              order, reason, self.now)
         else:
-            answers.started(self.fleet, sent.worker_id, order,
+            answers.started(self.fleet, sent_order.worker_id, order,
                             self.now * 1000.0, self.now)
 
-    @stateful.precondition(lambda self: self.late)
+    @stateful.precondition(lambda self: self.delayed_orders)
     @stateful.rule(data=strategies.data())
     def late_order_arrives(self, data: strategies.DataObject) -> None:
-        sent = self.late.pop(data.draw(strategies.integers(
-            0, len(self.late) - 1)))
-        self._carry_out(sent)
+        sent_order = self.delayed_orders.pop(data.draw(strategies.integers(
+            0, len(self.delayed_orders) - 1)))
+        self._execute_order(sent_order)
 
-    @stateful.precondition(lambda self: self.acting)
+    @stateful.precondition(lambda self: self.has_owner)
     @stateful.rule(data=strategies.data(),
                    answered=strategies.sampled_from([True, True, False]))
     def report(self, data: strategies.DataObject, answered: bool) -> None:
@@ -638,9 +652,9 @@
         worker_id = worker.entry.worker_id
         if not worker.alive:
             return
-        if not self.silent:
+        if not self.store_down:
             self.fleet.add_worker(worker.entry)
-        until = self._lease(worker_id)
+        until = self._grant_lease(worker_id)
         if not answered:
             self.fleet.worker_silent(worker_id, "no answer")
             return
@@ -656,9 +670,9 @@
                   for task, run in worker.runs), tuple(worker.ended)),
             self.now, self.now)
 
-    @stateful.precondition(lambda self: self.acting)
-    @stateful.rule(fate=FATES)
-    def record(self, fate: str) -> None:
+    @stateful.precondition(lambda self: self.has_owner)
+    @stateful.rule(call_outcome=CALL_OUTCOMES)
+    def store_progress(self, call_outcome: str) -> None:
         """Store progress; then let workers be used and forget ends.
 
         A commit without an answer is sent again until its outcome is known.
@@ -666,35 +680,35 @@
         commit = self.commit or self._next_commit()
         outcome = recorder_mod.Outcome.STORED
         if commit.values:
-            self._set_fate(fate)
+            self._set_commit_outcome(call_outcome)
             outcome = self.recorder._commit(commit.values)
-        if not self.acting:
+        if not self.has_owner:
             return
-        self.commit = (commit if outcome is recorder_mod.Outcome.DEPOSED
-                       else None)
+        self.commit = (
+            commit if outcome is recorder_mod.Outcome.DEPOSED else None)
         if outcome is recorder_mod.Outcome.STORED:
             self._forget_ends(commit.marks)
 
-    def _next_commit(self) -> Commit:
+    def _next_commit(self) -> PendingCommit:
         marks = {worker_id: known.processed
                  for worker_id, known in self.fleet.workers.items()}
         values = self.recorder._job_values()
         self.recorder._fleet_value(values)
-        return Commit(values, marks)
+        return PendingCommit(values, marks)
 
     def _forget_ends(self, marks: dict[str, int]) -> None:
         for worker_id, mark in marks.items():
             worker = self.workers[worker_id]
             for ended in worker.ended:
                 if (ended.number <= mark and ended.how == messages.DONE
-                        and not self._lasts(ended.task)):
-                    assert (self.listed_done.get(ended.task) != worker_id
-                            or ended.task not in self.started_again), (
+                        and not self._is_long_running(ended.task)):
+                    assert (self.reported_done.get(ended.task) != worker_id
+                            or ended.task not in self.restarted_after_end), (
                         f"{ended.task} started after its end")
-                    self.known_done.add(ended.task)
+                    self.acknowledged_done.add(ended.task)
             worker.ended = [e for e in worker.ended if e.number > mark]
 
-    def _lasts(self, task: messages.TaskId) -> bool:
+    def _is_long_running(self, task: messages.TaskId) -> bool:
         return self._job(task).steps[task.step].perpetual
 
     @stateful.rule(data=strategies.data(),
@@ -707,111 +721,116 @@
         if self._job(key[0]).steps[key[0].step].gang and how == "done":
             return
         worker.end(key, how)
-        if how == "done" and not self._lasts(key[0]):
+        if how == "done" and not self._is_long_running(key[0]):
             self.done.add(key[0])
-            self.listed_done[key[0]] = worker.entry.worker_id
+            self.reported_done[key[0]] = worker.entry.worker_id
 
-    @stateful.rule(data=strategies.data(), told=strategies.booleans(),
-                   happens=SELDOM)
-    def crash(self, data: strategies.DataObject, told: bool,
-              happens: bool) -> None:
-        if not happens:
+    @stateful.rule(data=strategies.data(), is_detected=strategies.booleans(),
+                   applies=RARELY)
+    def crash(self, data: strategies.DataObject, is_detected: bool,
+              applies: bool) -> None:
+        if not applies:
             return
         worker = data.draw(strategies.sampled_from(self._alive()))
         self._end_worker(worker)
-        if told and self.acting:
+        if is_detected and self.has_owner:
             crashes.worker_refuses(self.fleet, worker.entry.worker_id)
 
     def _end_worker(self, worker: SimulatedWorker) -> None:
         worker.alive = False
         worker.runs.clear()
         worker.ended.clear()
-        self.listed_done = {
-            task: worker_id for task, worker_id in self.listed_done.items()
+        self.reported_done = {
+            task: worker_id for task, worker_id in self.reported_done.items()
             if worker_id != worker.entry.worker_id}
         place = int(worker.entry.address.split(".")[3].split(":")[0])
         self._new_worker(place)
 
-    @stateful.precondition(lambda self: not self.silent)
+    @stateful.precondition(lambda self: not self.store_down)
     @stateful.rule(step=strategies.sampled_from(
         [STEPS[0][0], STEPS[2][0], STEPS[3][0]]))
-    def submit_one_that_crashes(self, step: messages.Step) -> None:
-        self._submit(fleetfakes.job(f"j{len(self.jobs)}", step, spec=CRASHES))
+    def submit_crashing_job(self, step: messages.Step) -> None:
+        self._submit(fleetfakes.job(
+            f"j{len(self.jobs)}", step, spec=CRASHING_SPEC))
 
-    @stateful.precondition(lambda self: self.unnoticed and self.acting)
+    @stateful.precondition(
+        lambda self: self.undetected_crashes and self.has_owner)
     @stateful.rule()
-    def crashes_are_noticed(self) -> None:
-        for worker_id in list(self.unnoticed):
+    def crashes_are_detected(self) -> None:
+        for worker_id in list(self.undetected_crashes):
             self.fleet.worker_silent(worker_id, "closed")
             crashes.worker_refuses(self.fleet, worker_id)
-            del self.unnoticed[worker_id]
+            del self.undetected_crashes[worker_id]
 
-    @stateful.precondition(lambda self: self.acting and not self.silent
-                           and any(job.spec == CRASHES for job in self.jobs))
+    @stateful.precondition(
+        lambda self: self.has_owner and not self.store_down
+        and any(job.spec == CRASHING_SPEC for job in self.jobs))
     @stateful.rule(cycles=strategies.integers(4, 12),
                    change_at=strategies.integers(0, 24),
-                   number=strategies.integers(0, PROCESSES - 1), fate=FATES)
-    def crashes_in_series(self, cycles: int, change_at: int, number: int,
-                          fate: str) -> None:
+                   number=strategies.integers(0, PROCESSES - 1),
+                   call_outcome=CALL_OUTCOMES)
+    def repeated_crashes(self, cycles: int, change_at: int, number: int,
+                         call_outcome: str) -> None:
         """Let tasks crash workers, with an owner that changes meanwhile."""
         for cycle in range(cycles):
-            if self.silent or not self.acting:
+            if self.store_down or not self.has_owner:
                 return
             if cycle == change_at:
-                self._take_over(number, fate)
-            self.calm()
-            if self.acting and cycle + 1 != change_at:
-                self.crashes_are_noticed()
+                self._take_over(number, call_outcome)
+            self.deliver_everything()
+            if self.has_owner and cycle + 1 != change_at:
+                self.crashes_are_detected()
             self.pass_time(0.3)
 
     @stateful.rule(data=strategies.data(),
-                   cpu=strategies.sampled_from(ROOMS))
-    def room_changes(self, data: strategies.DataObject, cpu: int) -> None:
-        self._change_room(
+                   cpu=strategies.sampled_from(CPU_CAPACITIES))
+    def capacity_changes(self, data: strategies.DataObject, cpu: int) -> None:
+        self._change_capacity(
             data.draw(strategies.sampled_from(self._alive())), cpu)
 
-    def _change_room(self, worker: SimulatedWorker, cpu: int) -> None:
+    def _change_capacity(self, worker: SimulatedWorker, cpu: int) -> None:
         worker.entry = dataclasses.replace(
             worker.entry, capacity=messages.Room(cpu, 16_000, 0))
-        worker.rooms.append((self.now, cpu))
+        worker.capacity_history.append((self.now, cpu))
 
-    @stateful.precondition(lambda self: self.acting and not self.silent)
-    @stateful.rule(cpu=strategies.sampled_from(ROOMS), happens=SELDOM)
-    def rooms_change_in_a_silence(self, cpu: int, happens: bool) -> None:
+    @stateful.precondition(lambda self: self.has_owner and not self.store_down)
+    @stateful.rule(cpu=strategies.sampled_from(CPU_CAPACITIES), applies=RARELY)
+    def capacities_change_in_a_store_outage(self, cpu: int,
+                                            applies: bool) -> None:
         """Let runs end on workers whose new room nobody can read."""
-        if not happens:
+        if not applies:
             return
         self.submit(STEPS[4])
-        self.store_falls_silent(True)
+        self.store_becomes_unreachable(True)
         for worker in self._alive():
-            self._change_room(worker, cpu)
-        while self.acting:
+            self._change_capacity(worker, cpu)
+        while self.has_owner:
             self.pass_time(1.0)
             ends = [(w, key) for w in self._alive() for key in w.runs]
             for worker, key in ends[:1]:
                 worker.end(key, "stopped")
-            self._hear(self._alive(), [])
+            self._exchange(self._alive(), [])
 
-    @stateful.precondition(lambda self: not self.silent)
+    @stateful.precondition(lambda self: not self.store_down)
     @stateful.rule(number=strategies.integers(0, PROCESSES - 1),
-                   fate=FATES, happens=SELDOM)
-    def take_over(self, number: int, fate: str, happens: bool) -> None:
+                   call_outcome=CALL_OUTCOMES, applies=RARELY)
+    def take_over(self, number: int, call_outcome: str, applies: bool) -> None:
         """Let a process take the next term, at once if there is no owner."""
-        if self.acting and not happens:
+        if self.has_owner and not applies:
             return
-        if self.acting:
+        if self.has_owner:
             self._step_down()
             self.process.release(self.fleet.fence)
-        self._take_over(number, fate)
+        self._take_over(number, call_outcome)
 
     @stateful.invariant()
-    def only_tasks_that_crash_workers_are_given_up(self) -> None:
+    def only_crashing_tasks_are_given_up(self) -> None:
         for state in self.fleet.jobs.values():
             assert ("crashed" not in state.reason
-                    or state.job.spec == CRASHES), state.reason
+                    or state.job.spec == CRASHING_SPEC), state.reason
 
     @stateful.invariant()
-    def room_is_accounted_for(self) -> None:
+    def used_cpu_matches_reservations(self) -> None:
         for worker in self.fleet.workers.values():
             assert worker.used.cpu == sum(
                 room.cpu for room in worker.reserved.values())
--- a/tests/test_fleet_terms.py
+++ b/tests/test_fleet_owner_terms.py
@@ -20,12 +20,12 @@
 HOLD_MAX_MS = 6000.0
 
 
-def wait_for(what):
+def wait_for(condition):
     """Wait until something holds."""
-    test_fleet_takeover.wait_for(what)
+    test_fleet_takeover.wait_for(condition)
 
 
-def test_a_worker_with_more_ends_to_list_does_not_count_as_heard():
+def test_worker_counts_as_reported_only_once_all_its_ends_are_listed():
     """Ends beyond the first page may be those of tasks that wait."""
     bench = test_fleet_state.Bench()
     bench.state.add_worker(fleetfakes.entry(0))
@@ -51,7 +51,7 @@
         fleet.owner.step_down("test over")
 
 
-def test_a_term_that_ends_while_it_reads_leaves_no_threads(fleet):
+def test_term_that_ends_during_recovery_leaves_no_threads(fleet):
     """Links that begin after the term has ended must end as well."""
     owner = owner_mod.Owner(
         fleet.store, fleet.worker_list,
@@ -59,11 +59,11 @@
         fleetfakes.configuration, 99, HOLD_MAX_MS)
     workers = fleet.worker_list.workers
 
-    def lost_meanwhile():
+    def step_down_then_list():
         owner.step_down("lease ended")
         return workers()
 
-    fleet.worker_list.workers = lost_meanwhile
+    fleet.worker_list.workers = step_down_then_list
     before = set(threading.enumerate())
     owner.run()
     wait_for(lambda: not set(threading.enumerate()) - before)
@@ -77,105 +77,105 @@
     return ownership_mod.Ownership(store, watcher, "me", make_owner)
 
 
-class SlowGrant(fleetfakes.MemoryStore):
+class BlockingGrantStore(fleetfakes.MemoryStore):
     """Hold back the answer to a grant until told to go on."""
 
     def __init__(self):
         super().__init__()
-        self.asked = threading.Event()
-        self.go_on = threading.Event()
+        self.grant_requested = threading.Event()
+        self.unblock_grant = threading.Event()
 
     def grant(self, ttl_ms):
-        self.asked.set()
-        self.go_on.wait(5)
+        self.grant_requested.set()
+        self.unblock_grant.wait(5)
         return super().grant(ttl_ms)
 
 
-def test_a_claim_under_way_at_a_planned_stop_begins_no_term():
+def test_claim_pending_at_a_planned_stop_starts_no_term():
     """A process that exits must not leave a key that nobody gives back."""
-    store = SlowGrant()
-    made = []
+    store = BlockingGrantStore()
+    owners = []
 
     def make_owner(fence):
         fleet = test_fleet_takeover.Fleet()
-        made.append(owner_mod.Owner(
+        owners.append(owner_mod.Owner(
             store, fleet.worker_list,
             lambda entry: fleet.workers[entry.worker_id],
             fleetfakes.configuration, fence, HOLD_MAX_MS))
-        return made[-1]
+        return owners[-1]
 
-    ours = make_ownership(store, make_owner)
-    thread = threading.Thread(target=ours.run, daemon=True)
+    ownership = make_ownership(store, make_owner)
+    thread = threading.Thread(target=ownership.run, daemon=True)
     thread.start()
-    assert store.asked.wait(5)
-    ours.stop()
-    store.go_on.set()
+    assert store.grant_requested.wait(5)
+    ownership.stop()
+    store.unblock_grant.set()
     thread.join(1)
-    for owner in made:
+    for owner in owners:
         owner.step_down("test over")
     assert not thread.is_alive()
     assert records.OWNER_KEY not in store.items
 
 
-def test_a_term_that_fails_while_it_reads_does_not_keep_the_fleet():
+def test_term_that_fails_during_recovery_gives_up_the_fleet():
     """Its lease must not be renewed for ever with nobody at work."""
     store = fleetfakes.MemoryStore()
-    made = []
+    owners = []
 
-    class Unreadable(fleetfakes.MemoryRoster):
+    class FailingWorkerList(fleetfakes.MemoryRoster):
         def workers(self):
             raise RuntimeError("unforeseen")
 
     def make_owner(fence):
-        made.append(owner_mod.Owner(
-            store, Unreadable(()), lambda entry: None,
+        owners.append(owner_mod.Owner(
+            store, FailingWorkerList(()), lambda entry: None,
             fleetfakes.configuration, fence, HOLD_MAX_MS))
-        return made[-1]
+        return owners[-1]
 
-    ours = make_ownership(store, make_owner)
+    ownership = make_ownership(store, make_owner)
 
     def run():
         try:
-            ours.run()
+            ownership.run()
         except RuntimeError:
             pass
 
     threading.Thread(target=run, daemon=True).start()
     try:
-        wait_for(lambda: len(made) > 0)
-        wait_for(made[0].stepped_down.is_set)
-        wait_for(lambda: len(made) > 1)
+        wait_for(lambda: len(owners) > 0)
+        wait_for(owners[0].stepped_down.is_set)
+        wait_for(lambda: len(owners) > 1)
     finally:
-        ours.stopped.set()
-        for owner in made:
+        ownership.stopped.set()
+        for owner in owners:
             owner.step_down("test over")
 
 
-def test_a_lease_allowed_before_a_freeze_ends_as_if_given_then(monkeypatch):
+def test_lease_checked_before_a_freeze_is_not_extended_after_it(monkeypatch):
     """Waking up, an owner must not lengthen what it could give before."""
     bench = test_fleet_state.Bench()
     bench.now = clock.now()
     bench.state.add_worker(fleetfakes.entry(0))
     bench.report("i-0")
     times = {"frozen": 0.0}
-    real = clock.now
-    monkeypatch.setattr(clock, "now", lambda: real() + times["frozen"])
+    real_now = clock.now
+    monkeypatch.setattr(clock, "now", lambda: real_now() + times["frozen"])
 
     def may_lease():
-        allowed_at.append(clock.now())
+        checked_at.append(clock.now())
         times["frozen"] = 6.0
         return True
 
-    allowed_at = []
+    checked_at = []
     link = link_mod.WorkerLink(
         fleetfakes.entry(0), fleetfakes.MemoryWorker("i-0"), bench.state,
         lambda: True, may_lease, lambda reason: None)
     until = link._until()
     assert until is not None
-    assert until <= allowed_at[0] * 1000.0 + workerstate.LEASE_MS + 100.0
+    assert until <= checked_at[0] * 1000.0 + workerstate.LEASE_MS + 100.0
 
 
-def test_leases_of_the_test_store_are_never_numbered_twice():
+def test_memory_store_never_reuses_a_lease_id():
     """A claim's new lease must not take the place of one that lives."""
     store = fleetfakes.MemoryStore()
     first, second = store.grant(2000), store.grant(2000)
@@ -185,21 +185,21 @@
     assert store.grant(2000) != second
 
 
-class SlowCommit(fleetfakes.MemoryStore):
+class InterruptedCommitStore(fleetfakes.MemoryStore):
     """Do something between the making of a transaction and its effect."""
 
-    meanwhile = None
+    before_commit = None
 
     def commit(self, transaction):
-        if self.meanwhile is not None:
-            self.meanwhile, meanwhile = None, self.meanwhile
-            meanwhile()
+        if self.before_commit is not None:
+            self.before_commit, before_commit = None, self.before_commit
+            before_commit()
         return super().commit(transaction)
 
 
-def test_a_worker_whose_removal_is_being_stored_is_not_used_meanwhile():
+def test_worker_is_not_used_while_its_removal_is_stored():
     """A successor asks only the workers on the stored list."""
-    store = SlowCommit()
+    store = InterruptedCommitStore()
     store.commit(messages.Transaction(
         puts=(messages.Put(records.OWNER_KEY, b"me"),)))
     fleet = fleetfakes.MemoryRoster([fleetfakes.entry(0),
@@ -218,42 +218,43 @@
         with owner.fleet.lock:
             owner.fleet._gone(owner.fleet.workers["i-0"], "lease over")
 
-        def listed_still():
+        def worker_is_relisted():
             owner.worker_links.update_workers(fleet.entries)
             wait_for(lambda: owner.fleet.workers["i-0"].reported)
 
-        store.meanwhile = listed_still
+        store.before_commit = worker_is_relisted
         assert owner.recorder.flush()
         stored = records.decode_mapping(store.items[records.FLEET_KEY].value)
-        used = {worker_id for worker_id, w in owner.fleet.workers.items()
-                if w.usable(clock.now())}
-        assert used <= set(stored)
+        usable_ids = {worker_id for worker_id, w in owner.fleet.workers.items()
+                      if w.usable(clock.now())}
+        assert usable_ids <= set(stored)
     finally:
         owner.step_down("test over")
 
 
-class SilentAfterRemoval(fleetfakes.MemoryStore):
+class OutageAfterRemovalStore(fleetfakes.MemoryStore):
     """Go silent once a list of workers without one of them is stored."""
 
-    removed = ""
-    meanwhile = None
+    removed_worker_id = ""
+    before_commit = None
 
     def commit(self, transaction):
-        ours = any(put.key == records.FLEET_KEY and self.removed
-                   and self.removed not in records.decode_mapping(put.value)
-                   for put in transaction.puts)
-        if ours:
-            self.removed = ""
-            self.meanwhile()
+        is_removal = any(
+            put.key == records.FLEET_KEY and self.removed_worker_id
+            and self.removed_worker_id not in records.decode_mapping(put.value)
+            for put in transaction.puts)
+        if is_removal:
+            self.removed_worker_id = ""
+            self.before_commit()
         revision = super().commit(transaction)
-        self.refuse |= ours
+        self.refuse |= is_removal
         return revision
 
 
-def test_no_task_starts_twice_if_its_worker_was_being_taken_off_the_list():
+def test_no_task_starts_twice_if_its_worker_was_being_unlisted():
     """A worker back while its removal is stored is unknown to successors."""
     fleet = test_fleet_takeover.Fleet()
-    fleet.store = SilentAfterRemoval()
+    fleet.store = OutageAfterRemovalStore()
     fleet.take_over()
     try:
         wait_for(lambda: all(w.usable(clock.now())
@@ -262,18 +263,18 @@
             1, messages.Room(4000, 10), requires="r1")))
         wait_for(lambda: fleet.running() == ["fill.0.0.0"])
 
-        def comes_back():
+        def worker_returns():
             fleet.submit(fleetfakes.job("a"))
             fleet.owner.worker_links.update_workers(fleet.worker_list.entries)
             end = clock.now() + 1.0
             while clock.now() < end and "a.0.0.0" not in fleet.running():
                 threading.Event().wait(0.01)
 
-        fleet.store.meanwhile = comes_back
+        fleet.store.before_commit = worker_returns
         with fleet.owner.fleet.lock:
             fleet.owner.fleet._gone(fleet.owner.fleet.workers["i-0"],
                                     "lease over")
-            fleet.store.removed = "i-0"
+            fleet.store.removed_worker_id = "i-0"
         wait_for(lambda: fleet.store.refuse)
         fleet.owner.step_down("killed")
         fleet.workers["i-0"].mute = True
--- a/tests/test_fleet_ownership.py
+++ b/tests/test_fleet_ownership.py
@@ -15,26 +15,27 @@
 from tests import fleetfakes
 
 
-class NoOwner:
+class UnexpectedOwner:
     """Stand in for an owner that is never made."""
 
     def __init__(self, fence: int) -> None:
         raise AssertionError("not to be made here")
 
 
-def contender(store, name, patience=0.0):
+def make_ownership(store, name, claim_delay_s=0.0):
     watcher = controlwatcher.ControlWatcher(
         store, "op/c", lambda value: messages.Configuration())
-    return ownership_mod.Ownership(store, watcher, name, NoOwner, patience)
+    return ownership_mod.Ownership(store, watcher, name, UnexpectedOwner,
+                                   claim_delay_s)
 
 
-def look(ownership):
+def see_owner_key(ownership):
     """Let a contender see the owner's key as it stands."""
     ownership.watcher.owner_item = ownership.store.get(records.OWNER_KEY)
     ownership.watcher.owner_known = True
 
 
-def test_another_owner_seen_while_waiting_is_not_taken_for_ourselves():
+def test_key_claimed_by_another_is_not_taken_for_an_own_claim():
     """Claim nothing when another has won meanwhile.
 
     Symptom: four processes acted as owner under one fence, tasks ran twice
@@ -45,32 +46,32 @@
     answer had been lost.
     """
     store = fleetfakes.MemoryStore()
-    first, second = contender(store, "a"), contender(store, "b")
+    first, second = make_ownership(store, "a"), make_ownership(store, "b")
     second.lease_id = store.grant(2000)
     fence = first._claim()
-    look(second)
+    see_owner_key(second)
     assert fence
     assert second._claim() == 0
 
 
-def test_claim_without_answer_that_took_effect_is_ours():
+def test_claim_whose_answer_was_lost_is_recognised():
     """Own the fleet after a claim whose answer was lost.
 
     Symptom would be a fleet without an owner for as long as the claimant
     renews its lease.  Cause would be to look at answers only.
     """
     store = fleetfakes.MemoryStore()
-    ours = contender(store, "a")
+    ownership = make_ownership(store, "a")
     store.lose_answers = 1
     with pytest.raises(Exception, match="no answer"):
-        ours._claim()
-    look(ours)
-    assert ours._claim() == store.items[records.OWNER_KEY].revision
+        ownership._claim()
+    see_owner_key(ownership)
+    assert ownership._claim() == store.items[records.OWNER_KEY].revision
 
 
-@pytest.mark.parametrize(("cores", "patient"), [
+@pytest.mark.parametrize(("cores", "is_delayed"), [
     (0.516, True), (0.99, True), (1.0, False), (2.15, False)])
-def test_weak_vms_leave_the_fleet_to_stronger_ones(cores, patient):
+def test_weak_vm_delays_its_claim(cores, is_delayed):
     """Let a VM own the fleet that has the processors for it.
 
     Symptom: callers waited for seconds and leases lapsed while the owner used
@@ -79,53 +80,54 @@
     strong ones.  Cause: all tried at the same moment, whatever they have.
     Evidence: from 8 to 34 s an owner on 0.516 core used 0.49 to 0.52 of it.
     """
-    patience = ownership_mod.claim_delay_s(cores)
-    assert (patience > ownership_mod.CLAIM_JITTER_S) is patient
+    claim_delay_s = ownership_mod.claim_delay_s(cores)
+    assert (claim_delay_s > ownership_mod.CLAIM_JITTER_S) is is_delayed
 
 
-def test_a_patient_vm_claims_nothing_that_another_claimed_meanwhile():
+def test_delayed_claim_fails_if_another_claimed_meanwhile():
     """Look again after waiting for stronger VMs."""
     store = fleetfakes.MemoryStore()
-    strong, weak = contender(store, "s"), contender(store, "w", 0.3)
-    for one in (strong, weak):
-        look(one)
-        one.watcher.configuration_known = True
-    waiting = threading.Thread(target=weak._wait_until_claimable)
-    waiting.start()
-    strong._wait_until_claimable()
-    assert strong._claim()
-    look(weak)
-    waiting.join()
-    assert weak._claim() == 0
-
-
-def test_an_answer_that_came_late_does_not_bring_an_owner_back():
+    strong_vm, weak_vm = make_ownership(
+        store, "s"), make_ownership(store, "w", 0.3)
+    for contender in (strong_vm, weak_vm):
+        see_owner_key(contender)
+        contender.watcher.configuration_known = True
+    waiting_thread = threading.Thread(target=weak_vm._wait_until_claimable)
+    waiting_thread.start()
+    strong_vm._wait_until_claimable()
+    assert strong_vm._claim()
+    see_owner_key(weak_vm)
+    waiting_thread.join()
+    assert weak_vm._claim() == 0
+
+
+def test_stale_read_does_not_restore_a_removed_owner_key():
     """Without an owner no change would ever tell that the key is free."""
     store = fleetfakes.MemoryStore()
-    first, second = contender(store, "a"), contender(store, "b")
+    first, second = make_ownership(store, "a"), make_ownership(store, "b")
     fence = first._claim()
-    read = store.get(records.OWNER_KEY)
+    stale_item = store.get(records.OWNER_KEY)
     first.release(fence)
     second.watcher._list_keys()
-    second.watcher.apply_owner_read(read)
+    second.watcher.apply_owner_read(stale_item)
     assert second._claim()
 
 
-class StuckStore(fleetfakes.MemoryStore):
+class BlockingReadStore(fleetfakes.MemoryStore):
     """Hold back answers to reads until told to go on."""
 
     def __init__(self):
         super().__init__()
-        self.reading = threading.Event()
-        self.go_on = threading.Event()
+        self.read_started = threading.Event()
+        self.unblock_read = threading.Event()
 
     def get(self, key):
-        self.reading.set()
-        self.go_on.wait(5)
+        self.read_started.set()
+        self.unblock_read.wait(5)
         return super().get(key)
 
 
-def test_a_slow_store_does_not_hold_up_the_view_of_an_owner():
+def test_slow_read_of_the_owner_key_does_not_block_the_watcher():
     """Read the owner's key without holding the view's lock.
 
     Symptom would be an owner that acts by an old configuration for up to a
@@ -133,64 +135,65 @@
     reads it from a slow store; a change of the configuration arrives.  Cause
     would be the lock that the reader holds meanwhile.
     """
-    store = StuckStore()
-    ours = contender(store, "a")
-    ours.watcher.owner_known = True
+    store = BlockingReadStore()
+    ownership = make_ownership(store, "a")
+    ownership.watcher.owner_known = True
     owner = types.SimpleNamespace(fence=7, stepped_down=threading.Event(),
                                   step_down=lambda reason:
                                   owner.stepped_down.set())
-    checker = threading.Thread(target=ours._watch_owner_key, args=(owner,))
-    checker.start()
-    assert store.reading.wait(5)
-    free = ours.watcher.owner_changed.acquire(timeout=1)
-    store.go_on.set()
-    if free:
-        ours.watcher.owner_changed.release()
-    checker.join(5)
-    assert free
+    checking_thread = threading.Thread(
+        target=ownership._watch_owner_key, args=(owner,))
+    checking_thread.start()
+    assert store.read_started.wait(5)
+    lock_is_free = ownership.watcher.owner_changed.acquire(timeout=1)
+    store.unblock_read.set()
+    if lock_is_free:
+        ownership.watcher.owner_changed.release()
+    checking_thread.join(5)
+    assert lock_is_free
     assert owner.stepped_down.is_set()
 
 
-def test_a_claim_under_way_at_a_planned_stop_is_given_back(monkeypatch):
+def test_claim_committed_during_a_planned_stop_is_released(monkeypatch):
     """A process that stops must not own the fleet until it is killed."""
     store = fleetfakes.MemoryStore()
-    ours = contender(store, "a")
-    look(ours)
-    ours.watcher.configuration_known = True
-    terms = []
+    ownership = make_ownership(store, "a")
+    see_owner_key(ownership)
+    ownership.watcher.configuration_known = True
+    fences_run = []
 
     def make_owner(fence):
         stepped_down = threading.Event()
         return types.SimpleNamespace(
             fence=fence, stepped_down=stepped_down,
             note_lease_renewal=lambda sent_at: None,
-            run=lambda: terms.append(fence),
+            run=lambda: fences_run.append(fence),
             step_down=lambda reason: stepped_down.set())
 
     commit = store.commit
 
-    def stopped_meanwhile(transaction):
+    def commit_then_stop(transaction):
         fence = commit(transaction)
         monkeypatch.undo()
-        ours.stop()
+        ownership.stop()
         return fence
 
-    ours.make_owner = make_owner
-    monkeypatch.setattr(store, "commit", stopped_meanwhile)
-    ours.run()
-    assert not terms
+    ownership.make_owner = make_owner
+    monkeypatch.setattr(store, "commit", commit_then_stop)
+    ownership.run()
+    assert not fences_run
     assert records.OWNER_KEY not in store.items
 
 
-def test_released_key_is_free_at_once():
+def test_released_key_can_be_claimed_at_once():
     store = fleetfakes.MemoryStore()
-    first, second = contender(store, "a"), contender(store, "b")
+    first, second = make_ownership(store, "a"), make_ownership(store, "b")
     first.release(first._claim())
-    look(second)
+    see_owner_key(second)
     assert second._claim()
 
 
-def test_two_flushes_at_once_do_not_acknowledge_unstored_ends():
+def test_concurrent_flushes_do_not_acknowledge_unstored_ends():
     """Let a second flush wait for the first.
 
     Symptom: a task that had ended as done was started again by a successor.
--- a/tests/test_fleet_takeover.py
+++ b/tests/test_fleet_takeover.py
@@ -73,10 +73,10 @@
         return progress.state_of(item.value) if item else ""
 
 
-def wait_for(what: typing.Callable[[], bool]) -> None:
+def wait_for(condition: typing.Callable[[], bool]) -> None:
     """Wait until something holds."""
     end = time.monotonic() + WAIT_S
-    while not what():
+    while not condition():
         assert time.monotonic() < end, "did not come to hold"
         time.sleep(0.01)
 
@@ -97,7 +97,7 @@
                 worker.finish(task)
 
 
-def test_job_runs_step_after_step_and_completes(fleet):
+def test_job_runs_its_steps_in_order_and_completes(fleet):
     fleet.take_over()
     fleet.submit(fleetfakes.job(
         "j", STEP, messages.Step(1, messages.Room(1000, 1000), after=(0,))))
@@ -125,7 +125,7 @@
     wait_for(lambda: fleet.running() == ["a.0.0.0", "b.0.0.0"])
 
 
-def test_successor_adopts_what_runs_and_keeps_ends(fleet):
+def test_takeover_neither_restarts_runs_nor_loses_ends(fleet):
     """Neither restart a run nor lose an end over a takeover.
 
     Symptom would be a task started twice.  Events: one task runs on, one
@@ -144,7 +144,7 @@
     assert fleet.starts() == ["a.0.0.0", "a.0.0.1"]
 
 
-def test_successor_waits_for_a_worker_that_may_run_the_task(fleet):
+def test_successor_does_not_restart_tasks_of_an_unresponsive_worker(fleet):
     """Leave old tasks alone while a worker in use has not reported.
 
     Symptom would be a task running on two workers.  Events: the owner dies,
@@ -154,19 +154,19 @@
     fleet.take_over()
     fleet.submit(fleetfakes.job("a"))
     wait_for(lambda: fleet.running() == ["a.0.0.0"])
-    holder = next(w for w in fleet.workers.values() if w.runs)
+    running_worker = next(w for w in fleet.workers.values() if w.runs)
     fleet.owner.step_down("killed")
-    holder.mute = True
+    running_worker.mute = True
     fleet.take_over()
     fleet.submit(fleetfakes.job("b"))
     wait_for(lambda: "b.0.0.0" in fleet.running())
     assert fleet.starts().count("a.0.0.0") == 1
-    holder.mute = False
+    running_worker.mute = False
     wait_for(lambda: not fleet.owner.fleet.unheard)
     assert fleet.starts().count("a.0.0.0") == 1
 
 
-def test_worker_reborn_at_its_address_frees_its_tasks_at_once(fleet):
+def test_tasks_of_a_restarted_worker_are_rerun_at_once(fleet):
     """Restart tasks of a worker as soon as its death is certain.
 
     Symptom would be tasks that wait for a lease to end although the worker
@@ -175,17 +175,17 @@
     fleet.take_over()
     fleet.submit(fleetfakes.job("a"))
     wait_for(lambda: fleet.running() == ["a.0.0.0"])
-    holder = next(w for w in fleet.workers.values() if w.runs)
-    holder.dead = True
+    running_worker = next(w for w in fleet.workers.values() if w.runs)
+    running_worker.dead = True
     wait_for(lambda: fleet.starts().count("a.0.0.0") == 2)
 
 
 def test_fenced_owner_steps_down(fleet):
     """Give up at the first order that a worker refuses by its fence."""
-    old = fleet.take_over()
+    first_owner = fleet.take_over()
     for worker in fleet.workers.values():
-        worker.fence = old.fence + 100
-    wait_for(old.stepped_down.is_set)
+        worker.fence = first_owner.fence + 100
+    wait_for(first_owner.stepped_down.is_set)
 
 
 def test_cancelled_job_is_stopped_and_stays_cancelled(fleet):
@@ -238,7 +238,7 @@
         fleet.store.items[records.WAITING_KEY].value) == {})
 
 
-def test_workers_keep_ends_while_the_store_is_away(fleet):
+def test_workers_keep_ends_while_the_store_is_unreachable(fleet):
     """Let no worker forget an end before it is stored."""
     fleet.take_over()
     fleet.submit(fleetfakes.job("a"))
@@ -251,7 +251,7 @@
     wait_for(lambda: fleet.state("a") == messages.COMPLETED)
 
 
-def test_inbox_survives_lost_history(fleet):
+def test_job_is_found_after_the_store_compacted_its_history(fleet):
     """See a job whose change fell out of the store's history.
 
     Symptom would be an accepted job that never starts.  Events: the watch
@@ -265,7 +265,7 @@
     wait_for(lambda: fleet.running() == ["a.0.0.0"])
 
 
-def test_unlisted_worker_is_asked_though_its_address_is_listed(fleet):
+def test_unlisted_worker_is_contacted_though_its_address_is_listed(fleet):
     """Ask a worker in use that is not listed, whoever else has its address.
 
     Symptom would be a task on two workers after a change of owner.  Events:
@@ -273,31 +273,31 @@
     its old one was still listed; the owner changed.  Cause would be to take
     the one that is listed for the one that lives.
     """
-    again = fleetfakes.entry(0).worker_id + "-again"
-    fleet.workers[again] = fleetfakes.MemoryWorker(again)
+    restarted_id = fleetfakes.entry(0).worker_id + "-again"
+    fleet.workers[restarted_id] = fleetfakes.MemoryWorker(restarted_id)
     fleet.store.commit(messages.Transaction(puts=(messages.Put(
         records.FLEET_KEY, records.encode_addresses(
-            {again: fleetfakes.entry(0).address})),)))
+            {restarted_id: fleetfakes.entry(0).address})),)))
     task = messages.TaskId("a", 0, 0, 0)
     fleet.submit(fleetfakes.job("a"))
-    fleet.workers[again].runs[task, 1] = fleetfakes.Run(task, 1)
+    fleet.workers[restarted_id].runs[task, 1] = fleetfakes.Run(task, 1)
     owner = fleet.take_over()
     fleet.submit(fleetfakes.job("b"))
     wait_for(lambda: "b.0.0.0" in fleet.running())
     assert fleet.starts() == ["b.0.0.0"]
-    assert again in owner.fleet.workers
+    assert restarted_id in owner.fleet.workers
 
 
-class Doubt(typing.NamedTuple):
+class LeaseAge(typing.NamedTuple):
     """How long ago each lease was renewed when a new job is seen."""
 
-    renewed_s_ago: float
+    age_s: float
     starts: int
 
 
-@pytest.mark.parametrize("doubt", [
-    Doubt(0.0, 1), Doubt(owner_mod.OWNER_LEASE_S + 0.1, 0)])
-def test_an_owner_in_doubt_starts_no_job_that_a_successor_may_start(doubt):
+@pytest.mark.parametrize("lease_age", [
+    LeaseAge(0.0, 1), LeaseAge(owner_mod.OWNER_LEASE_S + 0.1, 0)])
+def test_owner_with_an_expired_lease_starts_no_new_job(lease_age):
     """Leave what was stored after a successor's claim to the successor.
 
     Symptom: each task of a job ran twice at the same time.  Events: the
@@ -308,22 +308,22 @@
     between the two, and the job was new to both.
     """
     fleet = Fleet()
-    old = fleet.take_over()
-    wait_for(lambda: old.recovered and all(
-        w.enrolled and w.reported for w in old.fleet.workers.values())
-        and len(old.fleet.workers) == 2)
-    old.note_lease_renewal(clock.now() - doubt.renewed_s_ago)
+    first_owner = fleet.take_over()
+    wait_for(lambda: first_owner.recovered and all(
+        w.enrolled and w.reported for w in first_owner.fleet.workers.values())
+        and len(first_owner.fleet.workers) == 2)
+    first_owner.note_lease_renewal(clock.now() - lease_age.age_s)
     fleet.submit(fleetfakes.job("a"))
-    wait_for(lambda: "a" in old.fleet.jobs)
+    wait_for(lambda: "a" in first_owner.fleet.jobs)
     time.sleep(0.3)
-    assert len(fleet.starts()) == doubt.starts
-    old.note_lease_renewal(clock.now())
+    assert len(fleet.starts()) == lease_age.starts
+    first_owner.note_lease_renewal(clock.now())
     fleet.submit(fleetfakes.job("b"))
     wait_for(lambda: "b.0.0.0" in fleet.starts())
-    old.step_down("test over")
+    first_owner.step_down("test over")
 
 
-def test_jobs_held_back_in_doubt_start_once_the_lease_is_renewed(fleet):
+def test_jobs_held_back_start_once_the_lease_is_renewed(fleet):
     owner = fleet.take_over()
     wait_for(lambda: owner.recovered)
     owner.note_lease_renewal(clock.now() - owner_mod.OWNER_LEASE_S - 0.1)
@@ -333,7 +333,7 @@
     wait_for(lambda: fleet.running() == ["a.0.0.0"])
 
 
-def test_a_start_that_a_successor_may_have_ordered_is_refused():
+def test_start_that_a_successor_may_have_ordered_is_refused():
     orders = []
     state = state_mod.FleetState(
         5, HOLD_MAX_MS, lambda *order: orders.append(order),
@@ -348,7 +348,7 @@
     assert not orders and task.phase == progress.IDLE
 
 
-def test_a_worker_back_while_a_list_without_it_is_written_must_wait(
+def test_worker_back_while_its_removal_is_stored_is_not_used(
         monkeypatch):
     """A successor that reads that list would not ask the worker."""
     monkeypatch.setattr(link_mod.WorkerLink, "start", lambda self: None)
@@ -360,22 +360,22 @@
         fleetfakes.configuration, fence, HOLD_MAX_MS)
     owner.worker_links.update_workers(fleet.worker_list.entries)
     assert owner.recorder.flush()
-    away = owner.fleet.workers["i-0"]
-    assert away.enrolled
-    away.heard(0.0, clock.now())
+    worker = owner.fleet.workers["i-0"]
+    assert worker.enrolled
+    worker.heard(0.0, clock.now())
     owner.fleet.worker_silent("i-0", "no answer")
     owner.fleet.expire(clock.now() + 1.0)
     commit = fleet.store.commit
     enrolled = []
 
-    def unanswered(transaction):
+    def commit_without_answer(transaction):
         commit(transaction)
         monkeypatch.setattr(fleet.store, "commit", commit)
         owner.worker_links.update_workers(fleet.worker_list.entries)
         enrolled.append(owner.fleet.workers["i-0"].enrolled)
         raise surroundings.CallFailed("no answer")
 
-    monkeypatch.setattr(fleet.store, "commit", unanswered)
+    monkeypatch.setattr(fleet.store, "commit", commit_without_answer)
     assert owner.recorder.flush()
     assert "i-0" not in records.decode_mapping(
         fleet.store.items[records.FLEET_KEY].value)
@@ -406,7 +406,7 @@
             fleetfakes.configuration, fence, HOLD_MAX_MS)
         return self.fleet.owner
 
-    def lose_the_store(self) -> None:
+    def outlast_store_outage(self) -> None:
         """Cut the store off for longer than an owner goes on without it."""
         self.fleet.store.refuse = True
         owner = self.fleet.owner
@@ -428,34 +428,34 @@
     contender.stop()
 
 
-class AfterSilence(typing.NamedTuple):
+class AfterOutage(typing.NamedTuple):
     """What a run has come to when its owner is back from a silence."""
 
     ended: bool
-    holder_answers: bool
+    worker_answers: bool
 
 
 @pytest.mark.parametrize("case", [
-    AfterSilence(False, False), AfterSilence(False, True),
-    AfterSilence(True, False), AfterSilence(True, True)])
-def test_no_task_starts_twice_after_its_owner_was_without_the_store(
+    AfterOutage(False, False), AfterOutage(False, True),
+    AfterOutage(True, False), AfterOutage(True, True)])
+def test_no_task_starts_twice_after_its_owner_lost_the_store(
         fleet, contender, case):
     """An owner whose key outlived a silent store must not reuse its fence."""
     wait_for(lambda: fleet.owner is not None and fleet.owner.recovered)
     fleet.submit(fleetfakes.job("a"))
     wait_for(lambda: fleet.running() == ["a.0.0.0"])
     first = fleet.owner
-    holder = next(w for w in fleet.workers.values() if w.runs)
-    contender.lose_the_store()
+    running_worker = next(w for w in fleet.workers.values() if w.runs)
+    contender.outlast_store_outage()
     if case.ended:
         finish(fleet, "a.0.0.0")
-    holder.mute = not case.holder_answers
+    running_worker.mute = not case.worker_answers
     fleet.store.refuse = False
     wait_for(lambda: fleet.owner is not first and fleet.owner.recovered)
     fleet.submit(fleetfakes.job("b"))
     wait_for(lambda: "b.0.0.0" in fleet.running())
     assert fleet.starts().count("a.0.0.0") == 1
     assert fleet.owner.fence > first.fence
-    holder.mute = False
+    running_worker.mute = False
     wait_for(lambda: not fleet.owner.fleet.unheard)
     assert fleet.starts().count("a.0.0.0") == 1
