--- a/sycamorefield/fleet/controlwatcher.py
+++ b/sycamorefield/fleet/controlwatcher.py
@@ -1,4 +1,4 @@
-"""Follow the operators' configuration and who owns the fleet."""
+"""Watch the operators' configuration and the owner's key in the store."""
 
 import threading
 import typing
@@ -9,8 +9,10 @@
 from sycamorefield.fleet import records
 from sycamorefield.fleet import surroundings
 
-# A watch may go deaf before it is cut.  The list is read again, linearizably,
-# after each cut, so a change is seen at most this long after it was made.
+# The longest that one watch call waits for changes.  A watch may stop
+# delivering changes before its connection fails.  As each call is this short,
+# and the keys are listed again with a linearizable read after a failure, a
+# change is seen at most this long after it was made.
 WATCH_WAIT_MS = 1000
 RETRY_PAUSE_S = 0.1
 
@@ -18,7 +20,7 @@
 
 
 class ControlWatcher:
-    """Hold the newest configuration and the owner's key, as last seen."""
+    """Hold the latest configuration and owner's key read from the store."""
 
     def __init__(self, store: surroundings.Store, config_key: str,
                  decode: DecodeConfiguration) -> None:
@@ -30,7 +32,7 @@
         self.configuration_known = False
         self.owner_item: messages.Item | None = None
         self.owner_known = False
-        # The owner's key is known as of this revision.
+        # The store's revision as of which the owner's key is known.
         self.owner_revision = 0
         self.last_answer_at = 0.0
         self.store_reachable = True
@@ -38,11 +40,14 @@
         self.stopped = threading.Event()
 
     def configuration(self) -> messages.Configuration:
-        """Return the newest configuration seen."""
+        """Return the latest configuration read from the store."""
         return self.latest_configuration
 
     def run(self) -> None:
-        """Follow until stopped: list, then watch, then list again."""
+        """List and watch the keys until stopped.
+
+        The keys are listed again after each failure of the watch.
+        """
         while not self.stopped.is_set():
             try:
                 self._watch_changes(self._list_keys())
@@ -67,7 +72,8 @@
                                         WATCH_WAIT_MS)
             self._note_store_answered()
             for change in response.changes:
-                # Only changes move on: a deaf watch answers without any.
+                # Only a change may advance the revision: a stalled watch
+                # returns empty answers although keys have changed.
                 revision = max(revision, change.revision)
                 if change.key == records.OWNER_KEY:
                     self._set_owner(change.item, change.revision)
@@ -109,7 +115,7 @@
             self.owner_changed.notify_all()
 
     def apply_owner_read(self, item: messages.Item | None) -> None:
-        """Take in the owner's key from an answer that may be late."""
+        """Apply a read of the owner's key unless newer state is known."""
         with self.owner_changed:
             if item is not None and item.revision < self.owner_revision:
                 return
--- a/sycamorefield/fleet/jobrequests.py
+++ b/sycamorefield/fleet/jobrequests.py
@@ -1,6 +1,6 @@
-"""Accept, cancel and show jobs against the store alone.
+"""Accept and cancel jobs and return their status, using the store alone.
 
-No owner is needed for this: a job is accepted when its record is stored.
+No owner is needed: a job is accepted once its record is stored.
 """
 
 import collections
@@ -15,30 +15,31 @@
 from sycamorefield.fleet import records
 from sycamorefield.fleet import surroundings
 
-# Refusals of the store (nothing done) are tried again this often before the
-# caller is told to come back: a single 429 is over in milliseconds.
+# After this many calls that the store refused (nothing was written), the
+# caller is told to retry later.  A single 429 is over in milliseconds.
 MAX_REFUSED_TRIES = 3
-# After this many tries without an answer the caller is told so: it may come
-# back through another VM that reaches the store.
+# After this many calls without an answer the caller is told so.  It may retry
+# through another VM that reaches the store.
 MAX_UNANSWERED_TRIES = 2
 RETRY_PAUSE_S = 0.06
-# What is left of the caller's time to bring the answer to it.
+# Part of the caller's deadline reserved for delivering the answer.
 ANSWER_MARGIN_S = 0.15
 DEFAULT_DEADLINE_S = 3.0
-# Callers give up about 3 s after they first asked, so this leaves them two
-# more tries, at other VMs.
+# Callers give up about 3 s after their first request, so this leaves time for
+# two more attempts through other VMs.
 RETRY_AFTER_S = 1
+# Bounds the memory for known job IDs and uncertain keys.
 MAX_REMEMBERED_NAMES = 20_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accepted:
-    """Say that the job or its cancellation is stored."""
+    """The job or its cancellation is stored."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """Say that nothing was stored and when to come back, in seconds."""
+    """Nothing was stored; the caller may retry after retry_after_s."""
 
     reason: str
     retry_after_s: int = RETRY_AFTER_S
@@ -46,19 +47,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Uncertain:
-    """Say that the outcome is not known; the same request may be repeated."""
+    """The outcome is unknown; the same request may be repeated."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UnknownJob:
-    """Say that there is no such job."""
+    """There is no such job."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobStatus:
-    """Hold a job's state, and why if it failed."""
+    """The state of a job, and the reason if it failed."""
 
     state: str
     reason: str = ""
@@ -68,25 +69,25 @@
 
 
 class JobRequestHandler:
-    """Serve callers' requests about jobs."""
+    """Handle callers' requests to submit, cancel and query jobs."""
 
     def __init__(self, store: surroundings.Store,
                  store_unresponsive: typing.Callable[[], bool]) -> None:
         self.store = store
-        # Whether the store has not answered this VM for some time.
+        # Returns whether the store has been unresponsive for some time.
         self.store_unresponsive = store_unresponsive
-        # Whether the last call got no answer.
+        # Set by a write without an answer, cleared by an answered call.
         self.last_call_unanswered = False
         self.lock = threading.Lock()
-        # Keys of which a write got no answer and may take effect later.
+        # Keys with an unanswered write, which may still take effect.
         self.uncertain_keys: collections.OrderedDict[str, None] = (
             collections.OrderedDict())
-        # Jobs known to exist, so that showing one needs one read only.
+        # Jobs known to exist, so that a status query needs a single read.
         self.existing_jobs: collections.OrderedDict[str, None] = (
             collections.OrderedDict())
 
     def submit(self, job: messages.Job, deadline: float) -> Outcome:
-        """Store a job; repeated, it remains one job.
+        """Store a job; repeating the call creates no second job.
 
         deadline is on clock.now().
         """
@@ -102,7 +103,7 @@
         return outcome
 
     def cancel(self, job_id: str, deadline: float) -> Outcome:
-        """Store that a job is cancelled."""
+        """Store the cancellation of a job; deadline is on clock.now()."""
         try:
             if not self._job_exists(job_id):
                 return UnknownJob()
@@ -114,10 +115,10 @@
         return outcome
 
     def _create_key(self, key: str, value: bytes, deadline: float) -> Outcome:
-        """Create a key; one that is there already counts as created.
+        """Create a key; an existing key counts as created.
 
-        Once a try got no answer it may still take effect, so a refusal of a
-        later try must not be passed on as "not stored".
+        A write without an answer may still take effect, so after one a
+        refusal of a later attempt must not be returned as "not stored".
         """
         if self.last_call_unanswered or self.store_unresponsive():
             outcome = self._read_before_write(key)
@@ -152,12 +153,12 @@
         return Uncertain(reason) if uncertain else Refused(reason)
 
     def _read_before_write(self, key: str) -> Outcome | None:
-        """Read a key before it is written; return the outcome if it is clear.
+        """Read a key before writing it; return the outcome if it is decided.
 
         A write without an answer may take effect later, so its caller cannot
-        be told that nothing was stored.  A read without an answer leaves
-        nothing behind, and a refusal after it is true.  In an outage of 5 s
-        169 tries ended with an unknown fate before, 16 with this.
+        be told that nothing was stored.  A read without an answer has no
+        effect, so a refusal after it is correct.  In an outage of 5 s, 169
+        requests had an unknown outcome without this read, and 16 with it.
         """
         try:
             item = self._read(key)
@@ -169,7 +170,7 @@
         return None if item is None else Accepted()
 
     def job_status(self, job_id: str) -> JobStatus | None:
-        """Return what is known of a job, or None; raises CallFailed."""
+        """Return a job's status, or None if unknown; raises CallFailed."""
         item = self._read(records.progress_key(job_id))
         if item is not None:
             return JobStatus(progress.state_of(item.value),
@@ -178,17 +179,17 @@
                 else None)
 
     def waiting_count(self, queue: str) -> int:
-        """Return how many jobs of a queue wait; raises CallFailed."""
+        """Return the number of waiting jobs in a queue; raises CallFailed."""
         item = self._read(records.WAITING_KEY)
         if item is None:
             return 0
         return int(records.decode_mapping(item.value).get(queue, 0))
 
     def _read(self, key: str) -> messages.Item | None:
-        """Read a key, or refuse at once while the store is known to be away.
+        """Read a key, or fail at once while the store is unresponsive.
 
-        Waiting for a timeout would hold a caller up by a second who can come
-        back later or through another VM.
+        Waiting for the timeout would delay the caller by a second, although
+        it can retry later or through another VM.
         """
         if self.store_unresponsive():
             raise surroundings.CallRefused("store does not answer")
@@ -209,7 +210,7 @@
 
 
 def _add_bounded(names: collections.OrderedDict[str, None], name: str) -> None:
-    """Remember a name; forget the oldest beyond a number."""
+    """Add a name; drop the oldest beyond MAX_REMEMBERED_NAMES."""
     names[name] = None
     while len(names) > MAX_REMEMBERED_NAMES:
         names.popitem(last=False)
--- a/sycamorefield/fleet/jobwatcher.py
+++ b/sycamorefield/fleet/jobwatcher.py
@@ -1,4 +1,4 @@
-"""Follow the jobs and cancellations that callers have stored."""
+"""Watch the store for submitted jobs and cancellations."""
 
 import threading
 
@@ -9,12 +9,13 @@
 from sycamorefield.fleet import state as state_mod
 from sycamorefield.fleet import surroundings
 
+# The longest that one watch call waits for changes.
 WATCH_WAIT_MS = 2000
 RETRY_PAUSE_S = 0.1
 
 
 class JobWatcher:
-    """Take up what is stored under the jobs' keys until told it is over."""
+    """Add stored jobs and cancellations until the owner steps down."""
 
     def __init__(self, store: surroundings.Store,
                  fleet: state_mod.FleetState,
@@ -24,16 +25,17 @@
         self.stepped_down = stepped_down
 
     def follow(self, revision: int) -> None:
-        """Take in changes after a revision, one watch after the other."""
+        """Apply changes after a revision until the owner steps down."""
         while not self.stepped_down.is_set():
             revision = self._watch(revision)
 
     def _watch(self, after_revision: int) -> int:
-        """Take in new jobs and cancellations; return where to go on.
+        """Watch once; return the revision to continue from.
 
-        An answer without changes moves nothing on: a watch may have been
-        deaf while changes were made, and only asking again from the last
-        change seen brings them, or shows that the history is gone.
+        An answer without changes does not advance the revision: the watch
+        may have stalled while keys changed.  Watching again from the last
+        change seen returns the missed changes, or fails because the store
+        has compacted its history.
         """
         try:
             response = self.store.watch(records.JOB_PREFIX, after_revision,
@@ -48,16 +50,19 @@
         except surroundings.HistoryGone:
             return self._list_again(after_revision)
         except surroundings.CallFailed as exc:
-            events.emit(events.STORE_LOST, reason=f"inbox: {exc}")
+            events.emit(events.STORE_LOST, reason=f"watch of jobs: {exc}")
             self.stepped_down.wait(RETRY_PAUSE_S)
             return self._list_again(after_revision)
 
     def _list_again(self, after_revision: int) -> int:
-        """Read all jobs again: a watch that was cut may have gone deaf."""
+        """List all jobs; return the revision to continue from.
+
+        A failed watch may have stopped delivering changes before it failed.
+        """
         try:
             listing = self.store.listing(records.JOB_PREFIX)
         except surroundings.CallFailed as exc:
-            events.emit(events.STORE_LOST, reason=f"inbox: {exc}")
+            events.emit(events.STORE_LOST, reason=f"list of jobs: {exc}")
             self.stepped_down.wait(RETRY_PAUSE_S)
             return after_revision
         for item in listing.items:
@@ -67,14 +72,14 @@
         return listing.revision
 
     def _add_and_log(self, item: messages.Item) -> None:
-        """Take up a job, and log it if it is new."""
+        """Add a stored job, and log it if it is new."""
         job = self.add_job(item)
         if job is not None:
             events.emit(events.JOB_SEEN, job=job.job_id, queue=job.queue,
                         revision=item.created)
 
     def add_job(self, item: messages.Item) -> messages.Job | None:
-        """Take up a stored job; return it if it is new."""
+        """Add a stored job; return it if it is new, else None."""
         if item.key.endswith(records.CANCEL_SUFFIX):
             return None
         try:
@@ -88,7 +93,7 @@
         return None if is_known else job
 
     def apply_cancellation(self, key: str) -> None:
-        """Cancel the job that a key names, if it is a cancellation's."""
+        """Cancel the job of a cancellation key; ignore other keys."""
         if key.endswith(records.CANCEL_SUFFIX):
             self.fleet.cancel(key[len(records.JOB_PREFIX):
                                   -len(records.CANCEL_SUFFIX)])
--- a/sycamorefield/fleet/owner.py
+++ b/sycamorefield/fleet/owner.py
@@ -1,4 +1,4 @@
-"""Run the fleet while this process owns it."""
+"""Schedule the fleet while this process owns it."""
 
 import dataclasses
 import functools
@@ -19,31 +19,39 @@
 from sycamorefield.fleet import usage as usage_mod
 from sycamorefield.fleet import workerlinks as workerlinks_mod
 
-# How often the use of the fleet is logged.
+# How often the utilisation of the fleet is logged.
 USAGE_LOG_PERIOD_S = 2.0
-# The owner's lease in the store.  An owner that dies is noticed when it
-# ends; three renewals fit in, so one lost or slow renewal does not end it.
+# TTL of the owner's lease in the store.  The death of an owner is detected
+# when the lease expires.  Three renewals fit into the TTL, so one lost or slow
+# renewal does not end the lease.
 OWNER_LEASE_S = 2.0
-# A leaving worker gets no new work within 2 s of its notice.
+# How often the list of workers is read.  A worker that is about to leave must
+# get no new tasks later than 2 s after its notice.
 WORKER_LIST_PERIOD_S = 0.8
 WORKER_LIST_RETRY_S = 0.2
+# The longest wait for a change before the next round.
 MAX_IDLE_S = 0.1
-# Rounds of placing are at least this far apart, so that tasks that become
-# ready together share one.
+# The least pause between placement rounds, so that tasks that become ready
+# together are placed in one round.
 MIN_ROUND_GAP_S = 0.005
-# A round that took long is followed by a pause of this many times as long.
-# On a weak VM, or with many who wait, rounds back to back leave no processor
-# time for reports and leases: runs lapse and their users notice, and the
-# owner's processor is seen to be all in use.
+# The pause after a round, as a multiple of the round's duration.  On a weak
+# VM, or with many waiting tasks, rounds without pauses use all of the owner's
+# processor time and leave none for reports and lease renewals.  Leases of runs
+# then expire, which their users notice.
 GAP_PER_ROUND_TIME = 1.0
-# A round that was held up itself, say by a slowed VM, must not delay the next
-# start as long again: urgent work is to start within 1.1 s.
+# The longest pause after a round.  A round that took long, for example on a
+# slowed VM, must not delay the next start by as long again: urgent tasks must
+# start within 1.1 s.
 MAX_ROUND_GAP_S = 0.25
 RETRY_PAUSE_S = 0.1
 
 
 class Owner:
-    """Hold the tasks of an owner: inbox, roster, placing, recording."""
+    """Run one term as owner: watch jobs and workers, place, record.
+
+    fence is the fencing token of the term.  hold_max_ms limits the leases
+    that workers get.
+    """
 
     def __init__(self, store: surroundings.Store,
                  worker_list: surroundings.WorkerList,
@@ -61,8 +69,8 @@
         self.recovered = False
         self.started_at = clock.now()
         self.note_lease_renewal(self.started_at)
-        # As of the last line on it; counting anew for each caller of the
-        # metrics would take the lock from placing.
+        # The utilisation as last logged.  Metrics use this copy because
+        # computing it for each request would block placement on the lock.
         self.usage: usage_mod.Usage | None = None
         self.round_times = usage_mod.RoundTimes()
         self.recorder = recorder_mod.Recorder(
@@ -84,22 +92,26 @@
         self.worker_links.acknowledge_ends(stored_upto)
 
     def may_act(self) -> bool:
-        """Tell whether orders may still be given."""
+        """Return whether orders may still be sent.
+
+        Step down if the store has been unreachable for too long.
+        """
         if self.stepped_down.is_set():
             return False
         if (clock.now() - self.lease_renewed_at
                 > recovery_mod.MAX_STORE_OUTAGE_S):
-            self.step_down("no answer of the store")
+            self.step_down("store unreachable for too long")
             return False
         return True
 
     def may_lease(self) -> bool:
-        """Tell whether what runs may be given more time.
+        """Return whether leases of runs may be granted or extended.
 
-        Beyond its own lease an owner cannot know whether it has a successor.
-        The successor fences every worker that it reaches; as long as most
-        workers obey this owner, there is none that reached most.  One that
-        has stepped down may have given its lease back already.
+        Once its own lease has expired, an owner cannot know whether it has a
+        successor.  A successor fences every worker that it reaches, so as
+        long as most workers accept this owner's calls, no successor has
+        reached most of them.  An owner that has stepped down grants nothing:
+        its lease may already be released.
         """
         if self.stepped_down.is_set():
             return False
@@ -109,21 +121,21 @@
                 or self.fleet.obeyed_by_most(now))
 
     def note_lease_renewal(self, sent_at: float) -> None:
-        """Note that a call sent at a moment has renewed the owner's lease.
+        """Note that a call sent at sent_at renewed the owner's lease.
 
-        The store counts the lease from when the call came, so it holds at
-        least from the moment at which it was sent.
+        The store counts the TTL from the arrival of the call, so the lease
+        holds at least until sent_at plus the TTL.
         """
         self.lease_renewed_at = sent_at
         was_expired = self.fleet.leased_until < clock.now()
         self.fleet.leased_until = sent_at + OWNER_LEASE_S
         if was_expired:
-            # Jobs seen meanwhile were held back.
+            # Jobs first seen while the lease was expired were held back.
             with self.fleet.lock:
                 self.fleet.notify()
 
     def step_down(self, reason: str) -> None:
-        """Give no orders from now on."""
+        """End the term: send no more orders; reason is logged."""
         if self.stepped_down.is_set():
             return
         self.stepped_down.set()
@@ -134,7 +146,7 @@
             self.fleet.wake.notify_all()
 
     def run(self) -> None:
-        """Recover, then decide until stepping down."""
+        """Recover the stored state, then schedule until stepping down."""
         self._run_guarded(self._run)
 
     def _run(self) -> None:
@@ -151,7 +163,7 @@
         self.fleet.run_log.flush()
 
     def gauges(self) -> dict[str, float]:
-        """Return figures on the fleet and on the owner's own work."""
+        """Return metrics of the fleet and of the owner's own work."""
         now = clock.now()
         gauges = {
             "fence": float(self.fence),
@@ -172,7 +184,10 @@
         return gauges
 
     def _run_guarded(self, target: typing.Callable[[], None]) -> None:
-        """Step down on an unexpected error: a successor starts afresh."""
+        """Run a target; step down on an unexpected error.
+
+        A successor then starts from the stored state.
+        """
         try:
             target()
         except Exception as exc:
@@ -184,7 +199,10 @@
         self.fleet.advice.run(self.stepped_down)
 
     def _recover(self) -> int | None:
-        """Read jobs, progress and workers; return the jobs' revision."""
+        """Load the stored state; return the revision of the jobs.
+
+        Return None if the term ends first.
+        """
         while self.may_act():
             try:
                 return self.recovery.load()
@@ -204,8 +222,9 @@
                 self.worker_links.update_workers(
                     self.worker_list.workers(), read_at)
             except surroundings.CallFailed as exc:
-                events.emit(events.STORE_LOST, reason=f"workers: {exc}")
-                # With an old list nothing may be started.
+                events.emit(events.STORE_LOST, reason=f"worker list: {exc}")
+                # Nothing may be started with an outdated list, so it is
+                # read again soon.
                 pause_s = WORKER_LIST_RETRY_S
             self.worker_links.close_removed()
             if clock.now() - logged_at >= USAGE_LOG_PERIOD_S:
@@ -214,7 +233,7 @@
 
     def _log_usage(self, previous_times: usage_mod.RoundTimes
                    ) -> usage_mod.RoundTimes:
-        """Log how full the fleet is; return the rounds counted so far."""
+        """Log the utilisation; return the rounds counted so far."""
         self.usage = usage_mod.measure(self.fleet, clock.now())
         times = dataclasses.replace(self.round_times)
         events.emit(events.FLEET_USAGE, **dataclasses.asdict(self.usage),
@@ -233,8 +252,8 @@
             self.fleet.expire(started_at)
             self.fleet.run_log.flush_when_due(started_at)
             if not self.may_lease():
-                # A start without a lease would be taken back unsent and be
-                # placed again at once, hundreds of times a second.
+                # A start that gets no lease would be cancelled before it is
+                # sent and placed again at once, hundreds of times a second.
                 self.stepped_down.wait(MAX_IDLE_S)
                 continue
             rounds.place(self.fleet, started_at, clock.wall_ms())
--- a/sycamorefield/fleet/ownership.py
+++ b/sycamorefield/fleet/ownership.py
@@ -1,4 +1,4 @@
-"""Compete for the ownership of the fleet, and keep it while alive."""
+"""Elect the owner of the fleet through a leased key in the store."""
 
 import random
 import threading
@@ -15,15 +15,17 @@
 
 LEASE_TTL_MS = int(owner_mod.OWNER_LEASE_S * 1000)
 RENEW_PERIOD_S = 0.5
-# Processes that see the key go at the same moment try at different times,
-# which spares the store most of the claims that cannot win.
+# All processes see the removal of the key at the same moment.  A random delay
+# spares the store most of the claims that cannot win.
 CLAIM_JITTER_S = 0.08
-# The owner of a large fleet on a weak VM uses all its processor time: urgent
-# tasks wait beside free cores because it can't order more starts.  A VM with
-# less than this leaves the claim to others that may be about to make it.
+# On a VM with fewer cores, the owner of a large fleet uses all of its
+# processor time: it cannot order starts fast enough, and urgent tasks wait
+# although workers have free cores.  Such a VM delays its claim so that a
+# stronger one can win.
 MIN_OWNER_CORES = 1.0
-# A claim takes two calls to the store, 0.5 s where it answers 60 times more
-# slowly than usual; without a stronger VM a takeover is this much later.
+# How long a weak VM delays its claim.  A claim takes two calls to the store,
+# 0.5 s in total when it answers 60 times more slowly than usual.  If there is
+# no stronger VM, each takeover is delayed by this much.
 WEAK_VM_CLAIM_DELAY_S = 0.4
 RETRY_PAUSE_S = 0.2
 
@@ -31,14 +33,17 @@
 
 
 def claim_delay_s(cores: float, weak_vms_wait: bool = True) -> float:
-    """Return how long a VM leaves a free fleet to stronger ones."""
+    """Return how long a VM waits before it claims a free fleet."""
     if cores >= MIN_OWNER_CORES or not weak_vms_wait:
         return 0.0
     return WEAK_VM_CLAIM_DELAY_S
 
 
 class Ownership:
-    """Claim the owner's key when it is free and run an Owner meanwhile."""
+    """Claim the owner's key when it is free, then run an Owner.
+
+    claim_delay_s gives stronger VMs time to claim the key first.
+    """
 
     def __init__(self, store: surroundings.Store,
                  watcher: controlwatcher.ControlWatcher, name: str,
@@ -50,12 +55,12 @@
         self.claim_delay_s = claim_delay_s
         self.owner: owner_mod.Owner | None = None
         self.lease_id = 0
-        # When the call was sent that granted or renewed the lease last.
+        # When the last call that granted or renewed the lease was sent.
         self.lease_requested_at = 0.0
         self.stopped = threading.Event()
 
     def run(self) -> None:
-        """Compete until stopped."""
+        """Claim and run terms until stopped."""
         while not self.stopped.is_set():
             self._wait_until_claimable()
             if self.stopped.is_set():
@@ -63,14 +68,18 @@
             try:
                 fence = self._claim()
             except surroundings.CallFailed as exc:
-                events.emit(events.STORE_LOST, reason=f"claim: {exc}")
+                events.emit(events.STORE_LOST, reason=f"owner claim: {exc}")
                 self.stopped.wait(RETRY_PAUSE_S)
                 continue
             if fence:
                 self._run_term(fence)
 
     def _wait_until_claimable(self) -> None:
-        """Wait until the key is free, or is ours without our knowing."""
+        """Wait until the key is free or holds this process's identity.
+
+        The latter happens if the answer to an earlier claim was lost, or if
+        an earlier term did not release the key.
+        """
         with self.watcher.owner_changed:
             while not self.stopped.is_set():
                 if (self.watcher.owner_known
@@ -86,14 +95,15 @@
     def _claim(self) -> int:
         """Return the fence (the key's new revision), or 0 if another won.
 
-        A key that holds our value is written again: it may be of an earlier
-        term, or of a claim whose answer was lost.  Each term needs a fence
-        above that of every other, or what the earlier one started, and its
-        calls that are still under way, would pass for the new one's.
+        A key that already holds this process's identity is written again:
+        it may be left from an earlier term, or from a claim whose answer was
+        lost.  Each term needs a higher fence than all earlier ones.
+        Otherwise runs that an earlier term started, and its calls that are
+        still in flight, would be taken for those of the new term.
         """
         item = self.watcher.owner_item
         if item is not None and item.value != self.identity:
-            # While this process waited, another claimed the key.
+            # Another process claimed the key during the wait.
             return 0
         revision = item.revision if item is not None else 0
         self.lease_requested_at = clock.now()
@@ -107,18 +117,20 @@
             self.watcher.apply_owner_read(exc.at(records.OWNER_KEY))
             return 0
         except surroundings.LeaseEnded:
-            # The grant took longer than the lease; the next try asks anew.
+            # The call for the lease took longer than its TTL.  The next
+            # attempt requests a new lease.
             return 0
         events.emit(events.OWNERSHIP_CLAIMED, fence=fence, replaced=revision)
         return fence
 
     def _run_term(self, fence: int) -> None:
+        """Run an Owner until it steps down."""
         owner = self.make_owner(fence)
-        # A claim may come seconds after its lease was granted.
+        # The claim may succeed seconds after its lease was granted.
         owner.note_lease_renewal(self.lease_requested_at)
         self.owner = owner
         if self.stopped.is_set():
-            # A stop during the claim found no owner to hand over.
+            # stop() was called during the claim and found no owner to stop.
             self.owner = None
             owner.step_down("planned stop")
             self.release(fence)
@@ -128,13 +140,14 @@
         threading.Thread(target=self._watch_owner_key, args=(owner,),
                          daemon=True).start()
         owner.run()
-        owner.step_down("ended")
+        owner.step_down("term ended")
         self.owner = None
         if self.stopped.is_set():
             return
         item = self.watcher.owner_item
         if item is not None and item.value == self.identity:
-            # Lets others claim it: the term may have ended by a fault here.
+            # The term may have ended by a fault of this process.  Releasing
+            # the key lets others claim it.
             threading.Thread(target=self.release, args=(fence,),
                              daemon=True).start()
         self.stopped.wait(RETRY_PAUSE_S)
@@ -148,16 +161,17 @@
             except surroundings.LeaseEnded:
                 owner.step_down("lease ended")
             except surroundings.CallFailed as exc:
-                events.emit(events.STORE_LOST, reason=f"renewal: {exc}")
+                events.emit(events.STORE_LOST, reason=f"lease renewal: {exc}")
 
     def _watch_owner_key(self, owner: owner_mod.Owner) -> None:
-        """Step down when the key is seen to be gone or another's."""
+        """Step down when the key is removed or claimed by another."""
         while not owner.stepped_down.is_set():
             with self.watcher.owner_changed:
                 if not self._key_seems_lost(owner):
                     self.watcher.owner_changed.wait(0.5)
                 seems_lost = self._key_seems_lost(owner)
-            # The read may take a second; the view goes on meanwhile.
+            # The read may take a second, so it is made without the lock of
+            # the watcher, which would be blocked otherwise.
             if seems_lost and not self._confirm_key_lost(owner):
                 owner.stepped_down.wait(RETRY_PAUSE_S)
 
@@ -168,20 +182,24 @@
         return item is None or item.revision > owner.fence
 
     def _confirm_key_lost(self, owner: owner_mod.Owner) -> bool:
-        """Read the key itself: the watch may be older than the claim."""
+        """Read the key; step down and return True if the claim is lost.
+
+        The read is needed because the watched state may be older than the
+        claim.
+        """
         try:
             item = self.store.get(records.OWNER_KEY)
         except surroundings.CallFailed as exc:
-            events.emit(events.STORE_LOST, reason=f"owner's key: {exc}")
+            events.emit(events.STORE_LOST, reason=f"owner key read: {exc}")
             return False
         self.watcher.apply_owner_read(item)
         if item is not None and item.revision == owner.fence:
             return False
-        owner.step_down("owner's key is gone or another's")
+        owner.step_down("owner's key removed or claimed by another")
         return True
 
     def release(self, fence: int) -> None:
-        """Remove the key, so that a successor need not wait for the lease."""
+        """Remove the key so that a successor need not wait for the lease."""
         try:
             self.store.commit(messages.Transaction(
                 (messages.Expect(records.OWNER_KEY, fence),), (),
@@ -189,10 +207,10 @@
             events.emit(events.OWNERSHIP_RELEASED, fence=fence)
         except (surroundings.CallFailed, surroundings.Conflict,
                 surroundings.LeaseEnded) as exc:
-            events.emit(events.STORE_LOST, reason=f"release: {exc}")
+            events.emit(events.STORE_LOST, reason=f"owner release: {exc}")
 
     def stop(self) -> None:
-        """Stop competing; hand the fleet over if this process owns it."""
+        """Stop claiming; flush and release the fleet if owned here."""
         self.stopped.set()
         with self.watcher.owner_changed:
             self.watcher.owner_changed.notify_all()
--- a/sycamorefield/fleet/recovery.py
+++ b/sycamorefield/fleet/recovery.py
@@ -1,4 +1,4 @@
-"""Read what is stored of the fleet when its ownership is new."""
+"""Load the stored state of the fleet at the start of a term."""
 
 from sycamorefield import events
 from sycamorefield.fleet import clock
@@ -12,16 +12,16 @@
 from sycamorefield.fleet import workerlinks as workerlinks_mod
 from sycamorefield.fleet import workerstate
 
-# Without any answer of the store the owner goes on this long: an outage of
-# the store must not throw away what runs.  Its orders carry its fence, so a
-# worker that a successor has reached refuses them.
+# How long an owner continues when the store does not answer: an outage of the
+# store must not end running tasks.  Its orders carry its fence, so a worker
+# that a successor has reached refuses them.
 MAX_STORE_OUTAGE_S = 8.0
-# A line on jobs taken over stays under 4 KB.
+# Keeps a log line on resumed jobs under 4 KB.
 JOBS_PER_LOG_LINE = 100
 
 
 class Recovery:
-    """Take over jobs, progress and workers from the store."""
+    """Load jobs, progress and workers from the store."""
 
     def __init__(self, store: surroundings.Store,
                  worker_list: surroundings.WorkerList,
@@ -37,9 +37,9 @@
         self.recorder = recorder
 
     def load(self) -> int:
-        """Read all; return the jobs' revision to follow on from.
+        """Load everything; return the revision from which to watch jobs.
 
-        Raises CallFailed; it may then be tried again.
+        Raises CallFailed, after which the call may be repeated.
         """
         workers_item = self.store.get(records.FLEET_KEY)
         waiting_item = self.store.get(records.WAITING_KEY)
@@ -70,10 +70,10 @@
         return jobs.revision
 
     def _log_resumed_jobs(self) -> None:
-        """Log the jobs that go on, many to a line.
+        """Log the resumed jobs, many to a line.
 
-        One line for each stored job, ended ones included, would push what
-        was logged of the claim out of the part of the log that is kept.
+        One line for each stored job, including ended ones, would push the
+        lines on the claim out of the part of the log that is kept.
         """
         with self.fleet.lock:
             job_ids = list(self.fleet.active)
@@ -106,11 +106,11 @@
                         reason=str(exc))
 
     def _expect_workers(self, item: messages.Item | None) -> None:
-        """Wait for each worker that earlier owners may have used.
+        """Wait for a report of each worker that earlier owners may have used.
 
-        An earlier owner may act without the store for WITHOUT_STORE_S, and
-        what it started last runs at most the longest lease after that, on a
-        clock that may be slow.
+        An earlier owner may act without the store for MAX_STORE_OUTAGE_S.
+        The last run that it started ends at most the longest lease later, on
+        a clock that may be slow.
         """
         if item is None:
             return
--- a/sycamorefield/fleet/workerlinks.py
+++ b/sycamorefield/fleet/workerlinks.py
@@ -1,4 +1,4 @@
-"""Follow the list of workers, with a link to each."""
+"""Maintain a link to each worker of the fleet."""
 
 import typing
 
@@ -13,10 +13,10 @@
 
 
 class WorkerLinks:
-    """Hold the links to all workers that are listed, or may run something.
+    """Hold links to all workers that are listed or may have running tasks.
 
-    addresses tells where workers in use are by the stored list of an earlier
-    owner, or None if there is none.
+    stored_addresses returns the addresses of the workers in use by worker ID,
+    as an earlier owner stored them, or None if nothing is stored.
     """
 
     def __init__(self, fleet: state_mod.FleetState, connect: WorkerFactory,
@@ -33,30 +33,38 @@
         self.closed = False
 
     def send_order(self, worker_id: str, order: state_mod.Order) -> None:
-        """Hand an order to the link of its worker."""
+        """Queue an order on the link of its worker."""
         link = self.links.get(worker_id)
         if link is not None:
             link.orders.put(order)
 
     def acknowledge_ends(self, stored_upto: dict[str, int]) -> None:
-        """Let workers forget ends up to the numbers that are stored."""
+        """Acknowledge the ends of runs up to the stored numbers.
+
+        Workers then stop reporting them.
+        """
         for worker_id, number in stored_upto.items():
             link = self.links.get(worker_id)
             if link is not None:
                 link.mark_seen(number)
 
     def close(self) -> None:
-        """End all links after the calls under way, and any begun later."""
+        """Close all links after their calls in flight.
+
+        Links that are started later are closed at once.
+        """
         self.closed = True
         for link in list(self.links.values()):
             link.close()
 
     def update_workers(self, entries: tuple[messages.WorkerEntry, ...],
                        read_at: float | None = None) -> None:
-        """Take up all workers listed, then begin to speak to the new ones.
+        """Apply the list of workers, then start links to the new ones.
 
-        The lock is taken once: taken for each, others get it in between, and
-        workers that come back together are used again one by one.
+        read_at is when the list was read, on clock.now(); by default now.
+        The lock is taken once for all workers.  If it were taken for each,
+        other threads would get it in between, and workers that return
+        together would become usable one by one.
         """
         with self.fleet.lock:
             links = [self._add_worker(entry) for entry in entries]
@@ -68,7 +76,7 @@
 
     def _add_worker(self, entry: messages.WorkerEntry
                     ) -> link_mod.WorkerLink | None:
-        """Take up a worker; return its link if it is a new one."""
+        """Add or update a worker; return its link if the worker is new."""
         old_link = self.links.get(entry.worker_id)
         if not self.fleet.add_worker(entry):
             return None
@@ -83,7 +91,10 @@
         return link
 
     def connect_unlisted(self) -> None:
-        """Ask workers in use that the list has lost, at their address."""
+        """Contact workers in use that are no longer listed.
+
+        Their addresses come from the stored list of workers in use.
+        """
         addresses = self.stored_addresses()
         for worker_id in list(self.fleet.unheard):
             if worker_id in self.links or not addresses:
@@ -104,7 +115,7 @@
             link.close()
 
     def close_removed(self) -> None:
-        """End the links to workers that are given up."""
+        """Close the links to workers that were removed from the fleet."""
         for worker_id, link in list(self.links.items()):
             if worker_id not in self.fleet.workers:
                 link.close()
