--- a/tests/test_fleet_ownership.py
+++ b/tests/test_fleet_ownership.py
@@ -1,4 +1,4 @@
-"""Show that the fleet has one owner at a time."""
+"""Test that the fleet has at most one owner at a time."""
 
 import threading
 import time
@@ -16,10 +16,10 @@
 
 
 class UnexpectedOwner:
-    """Stand in for an owner that is never made."""
+    """Fail if an owner is created."""
 
     def __init__(self, fence: int) -> None:
-        raise AssertionError("not to be made here")
+        raise AssertionError("no owner may be created in this test")
 
 
 def make_ownership(store, name, claim_delay_s=0.0):
@@ -30,20 +30,18 @@
 
 
 def see_owner_key(ownership):
-    """Let a contender see the owner's key as it stands."""
+    """Let a process see the owner's key as it is now stored."""
     ownership.watcher.owner_item = ownership.store.get(records.OWNER_KEY)
     ownership.watcher.owner_known = True
 
 
 def test_key_claimed_by_another_is_not_taken_for_an_own_claim():
-    """Claim nothing when another has won meanwhile.
-
-    Symptom: four processes acted as owner under one fence, tasks ran twice
-    and workers were overfilled.  Events: a contender saw the key free and
-    waited for its turn; another claimed the key, and the watch brought that
-    key; the contender still held a lease from an earlier attempt.  Cause:
-    any key that was there by then was taken for a claim of our own whose
-    answer had been lost.
+    """Claim nothing if another process claimed the key during the wait.
+
+    A process with a lease from an earlier attempt saw the key free and waited
+    before its claim, while another process claimed the key.  It took any key
+    for its own claim whose answer had been lost.  Four processes then acted
+    as owner under one fence: tasks ran twice and workers were overcommitted.
     """
     store = fleetfakes.MemoryStore()
     first, second = make_ownership(store, "a"), make_ownership(store, "b")
@@ -57,8 +55,8 @@
 def test_claim_whose_answer_was_lost_is_recognised():
     """Own the fleet after a claim whose answer was lost.
 
-    Symptom would be a fleet without an owner for as long as the claimant
-    renews its lease.  Cause would be to look at answers only.
+    If only answers counted, the fleet would have no owner for as long as the
+    claimant renews its lease.
     """
     store = fleetfakes.MemoryStore()
     ownership = make_ownership(store, "a")
@@ -72,20 +70,18 @@
 @pytest.mark.parametrize(("cores", "is_delayed"), [
     (0.516, True), (0.99, True), (1.0, False), (2.15, False)])
 def test_weak_vm_delays_its_claim(cores, is_delayed):
-    """Let a VM own the fleet that has the processors for it.
+    """Let a VM with enough cores win the claim.
 
-    Symptom: callers waited for seconds and leases lapsed while the owner used
-    all the processor time of its VM.  Events: the owner went; all VMs saw it
-    at once, weak and strong ones, and one of the 37 weak ones won over the 8
-    strong ones.  Cause: all tried at the same moment, whatever they have.
-    Evidence: from 8 to 34 s an owner on 0.516 core used 0.49 to 0.52 of it.
+    When an owner ended, 37 weak and 8 strong VMs claimed the fleet at the same
+    moment, and a weak one won.  On its 0.516 core, it used 0.49 to 0.52 core
+    from 8 to 34 s: callers waited for seconds and leases expired.
     """
     claim_delay_s = ownership_mod.claim_delay_s(cores)
     assert (claim_delay_s > ownership_mod.CLAIM_JITTER_S) is is_delayed
 
 
 def test_delayed_claim_fails_if_another_claimed_meanwhile():
-    """Look again after waiting for stronger VMs."""
+    """Check the key again after waiting for stronger VMs."""
     store = fleetfakes.MemoryStore()
     strong_vm, weak_vm = make_ownership(
         store, "s"), make_ownership(store, "w", 0.3)
@@ -102,7 +98,11 @@
 
 
 def test_stale_read_does_not_restore_a_removed_owner_key():
-    """Without an owner no change would ever tell that the key is free."""
+    """Ignore an outdated read of the key after the key was removed.
+
+    Without an owner the key does not change again, so a watcher that holds an
+    outdated value would never see that the key is free.
+    """
     store = fleetfakes.MemoryStore()
     first, second = make_ownership(store, "a"), make_ownership(store, "b")
     fence = first._claim()
@@ -114,7 +114,7 @@
 
 
 class BlockingReadStore(fleetfakes.MemoryStore):
-    """Hold back answers to reads until told to go on."""
+    """Block reads until unblock_read is set."""
 
     def __init__(self):
         super().__init__()
@@ -128,12 +128,11 @@
 
 
 def test_slow_read_of_the_owner_key_does_not_block_the_watcher():
-    """Read the owner's key without holding the view's lock.
+    """Read the owner's key without holding the watcher's lock.
 
-    Symptom would be an owner that acts by an old configuration for up to a
-    second.  Events: the owner's key seems to be another's, and the owner
-    reads it from a slow store; a change of the configuration arrives.  Cause
-    would be the lock that the reader holds meanwhile.
+    The owner's key seems to be claimed by another process, and the owner
+    reads it from a slow store.  If it held the lock during the read, a change
+    of the configuration would take effect up to a second late.
     """
     store = BlockingReadStore()
     ownership = make_ownership(store, "a")
@@ -155,7 +154,10 @@
 
 
 def test_claim_committed_during_a_planned_stop_is_released(monkeypatch):
-    """A process that stops must not own the fleet until it is killed."""
+    """Release a claim that commits while the process stops.
+
+    Otherwise the process would own the fleet until it is killed.
+    """
     store = fleetfakes.MemoryStore()
     ownership = make_ownership(store, "a")
     see_owner_key(ownership)
@@ -196,11 +198,10 @@
 def test_concurrent_flushes_do_not_acknowledge_unstored_ends():
     """Let a second flush wait for the first.
 
-    Symptom: a task that had ended as done was started again by a successor.
-    Events: at a planned stop the owner flushed what had changed while its
-    recorder was waiting for the answer to a commit of the same ends; the
-    second flush found nothing left to write and told the workers to forget
-    the ends; the commit was then given up.  Cause: two flushes at once.
+    At a planned stop an owner flushed while its recorder waited for the
+    answer to a commit of the same ends of runs.  The second flush found
+    nothing left to write and acknowledged the ends to the workers, and the
+    commit was then abandoned.  A successor restarted a task that was done.
     """
     store = fleetfakes.MemoryStore()
     store.commit(messages.Transaction(
--- a/tests/test_fleet_takeover.py
+++ b/tests/test_fleet_takeover.py
@@ -1,4 +1,4 @@
-"""Show that an owner's successor takes over without doing work twice."""
+"""Test that the successor of an owner takes over without repeating work."""
 
 import threading
 import time
@@ -26,7 +26,7 @@
 
 
 class Fleet:
-    """Workers, a store and one owner after the other."""
+    """Hold in-memory workers, a store and one owner at a time."""
 
     def __init__(self, workers: int = 2) -> None:
         self.store = fleetfakes.MemoryStore()
@@ -37,7 +37,7 @@
         self.owner: owner_mod.Owner | None = None
 
     def take_over(self) -> owner_mod.Owner:
-        """Let a new owner claim the fleet and run."""
+        """Start a new owner, replacing the owner's key."""
         if records.OWNER_KEY in self.store.items:
             self.store.commit(messages.Transaction(
                 removes=(records.OWNER_KEY,)))
@@ -51,19 +51,19 @@
         return self.owner
 
     def submit(self, job: messages.Job) -> None:
-        """Store a job as an entry process does."""
+        """Store a job in the way an entry process does."""
         self.store.commit(messages.Transaction(
             (messages.Expect(records.job_key(job.job_id), 0),),
             (messages.Put(records.job_key(job.job_id),
                           progress.encode_job(job)),)))
 
     def running(self) -> list[str]:
-        """Return the names of all tasks that run."""
+        """Return the names of all running tasks."""
         return sorted(str(task) for w in self.workers.values()
                       for task, _ in w.runs)
 
     def starts(self) -> list[str]:
-        """Return the names of all tasks ever started, with repeats."""
+        """Return the names of all tasks started so far, with repeats."""
         return sorted(str(task) for w in self.workers.values()
                       for task, _ in w.starts)
 
@@ -74,10 +74,10 @@
 
 
 def wait_for(condition: typing.Callable[[], bool]) -> None:
-    """Wait until something holds."""
+    """Wait until a condition holds; fail after WAIT_S."""
     end = time.monotonic() + WAIT_S
     while not condition():
-        assert time.monotonic() < end, "did not come to hold"
+        assert time.monotonic() < end, "condition did not hold in time"
         time.sleep(0.01)
 
 
@@ -90,7 +90,7 @@
 
 
 def finish(fleet: Fleet, name: str) -> None:
-    """Let a task's run end as done."""
+    """End the runs of a task as done."""
     for worker in fleet.workers.values():
         for task, _ in list(worker.runs):
             if str(task) == name:
@@ -111,10 +111,9 @@
 def test_successor_uses_workers_that_its_predecessor_enrolled(fleet):
     """Start tasks after a takeover without any change of the worker list.
 
-    Symptom: after a planned stop of the owner no task started any more,
-    though all workers answered.  Events: the successor found every worker
-    on the stored list of workers in use, so it had nothing to write.
-    Cause: workers were marked usable only after a write of that list.
+    A successor found every worker on the stored list of workers in use, so it
+    did not write that list.  Workers became usable only after a write, so no
+    task was started although all workers answered.
     """
     fleet.take_over()
     fleet.submit(fleetfakes.job("a"))
@@ -126,11 +125,11 @@
 
 
 def test_takeover_neither_restarts_runs_nor_loses_ends(fleet):
-    """Neither restart a run nor lose an end over a takeover.
+    """Neither restart a running task nor lose the end of one.
 
-    Symptom would be a task started twice.  Events: one task runs on, one
-    ends while nobody owns the fleet.  Cause would be planning before the
-    workers have told what runs and what ended.
+    One task keeps running and one ends while the fleet has no owner.  If the
+    successor placed tasks before the workers reported, it would start a task
+    twice.
     """
     fleet.take_over()
     fleet.submit(fleetfakes.job("a", messages.Step(
@@ -145,11 +144,11 @@
 
 
 def test_successor_does_not_restart_tasks_of_an_unresponsive_worker(fleet):
-    """Leave old tasks alone while a worker in use has not reported.
+    """Restart no old task while a worker in use has not reported.
 
-    Symptom would be a task running on two workers.  Events: the owner dies,
-    and the successor does not reach the worker that runs the task.  Cause
-    would be to take silence for absence before the leases have ended.
+    The owner dies, and its successor cannot reach the worker that runs the
+    task.  If an unresponsive worker counted as gone before its leases have
+    expired, the task would run on two workers.
     """
     fleet.take_over()
     fleet.submit(fleetfakes.job("a"))
@@ -167,10 +166,10 @@
 
 
 def test_tasks_of_a_restarted_worker_are_rerun_at_once(fleet):
-    """Restart tasks of a worker as soon as its death is certain.
+    """Restart the tasks of a worker as soon as its end is certain.
 
-    Symptom would be tasks that wait for a lease to end although the worker
-    has come back with another ID.  Cause would be to look at silence only.
+    The worker returns at the same address with another ID.  If only missing
+    answers counted, its tasks would wait until its lease expires.
     """
     fleet.take_over()
     fleet.submit(fleetfakes.job("a"))
@@ -181,7 +180,7 @@
 
 
 def test_fenced_owner_steps_down(fleet):
-    """Give up at the first order that a worker refuses by its fence."""
+    """Step down when a worker refuses an order because of a higher fence."""
     first_owner = fleet.take_over()
     for worker in fleet.workers.values():
         worker.fence = first_owner.fence + 100
@@ -205,12 +204,11 @@
 @pytest.mark.parametrize("fault", ["lose_answers", "lose_calls",
                                    "keep_late"])
 def test_ends_are_recorded_although_commits_get_no_answer(fleet, fault):
-    """Record an end exactly once when the store's answers are lost.
+    """Record an end exactly once when commits get no answer.
 
-    Symptom would be a job that never completes, or a worker told to forget
-    an end that is not stored.  Events: a commit takes effect unseen, is
-    lost, or takes effect after it was repeated.  Cause would be to take "no
-    answer" for either outcome.
+    A commit without an answer may have taken effect, be lost, or take effect
+    after it was repeated.  If it counted as either stored or lost, a job
+    would never complete, or an end would be acknowledged that is not stored.
     """
     fleet.take_over()
     fleet.submit(fleetfakes.job("a"))
@@ -224,12 +222,11 @@
 
 
 def test_successor_corrects_the_number_of_waiting_jobs(fleet):
-    """Write the numbers of waiting jobs anew, also when none wait.
+    """Overwrite the stored counts of waiting jobs even if no job waits.
 
-    Symptom would be a queue that is said to have waiting jobs until the next
-    one waits.  Events: the owner stored a number and died; nothing waits for
-    its successor.  Cause would be to compare with an empty memory instead of
-    with what is stored.
+    An owner stores a count and dies, and its successor has no waiting jobs.
+    If the successor compared its counts with none instead of with the stored
+    ones, the queue would show waiting jobs until the next job waits.
     """
     fleet.store.commit(messages.Transaction(puts=(messages.Put(
         records.WAITING_KEY, records.encode_counts({"checks": 3})),)))
@@ -239,7 +236,7 @@
 
 
 def test_workers_keep_ends_while_the_store_is_unreachable(fleet):
-    """Let no worker forget an end before it is stored."""
+    """Acknowledge no end of a run before it is stored."""
     fleet.take_over()
     fleet.submit(fleetfakes.job("a"))
     wait_for(lambda: fleet.running() == ["a.0.0.0"])
@@ -252,10 +249,10 @@
 
 
 def test_job_is_found_after_the_store_compacted_its_history(fleet):
-    """See a job whose change fell out of the store's history.
+    """Find a job whose change is no longer in the store's history.
 
-    Symptom would be an accepted job that never starts.  Events: the watch
-    is cut and its history is gone.  Cause would be to go on from "now".
+    The watch fails because the history was compacted.  If it continued from
+    the current revision, an accepted job would never start.
     """
     fleet.take_over()
     wait_for(lambda: len(fleet.owner.worker_links.links) == 2)
@@ -266,12 +263,11 @@
 
 
 def test_unlisted_worker_is_contacted_though_its_address_is_listed(fleet):
-    """Ask a worker in use that is not listed, whoever else has its address.
+    """Contact an unlisted worker in use even if another has its address.
 
-    Symptom would be a task on two workers after a change of owner.  Events:
-    a worker was born again and used; its new entry lapsed in an outage while
-    its old one was still listed; the owner changed.  Cause would be to take
-    the one that is listed for the one that lives.
+    A worker restarted and was used, its new entry expired in an outage while
+    its old entry was still listed, and the owner changed.  If the listed
+    incarnation were taken for the live one, a task would run on two workers.
     """
     restarted_id = fleetfakes.entry(0).worker_id + "-again"
     fleet.workers[restarted_id] = fleetfakes.MemoryWorker(restarted_id)
@@ -289,7 +285,7 @@
 
 
 class LeaseAge(typing.NamedTuple):
-    """How long ago each lease was renewed when a new job is seen."""
+    """Say how long ago the lease was renewed, and how many starts follow."""
 
     age_s: float
     starts: int
@@ -298,14 +294,13 @@
 @pytest.mark.parametrize("lease_age", [
     LeaseAge(0.0, 1), LeaseAge(owner_mod.OWNER_LEASE_S + 0.1, 0)])
 def test_owner_with_an_expired_lease_starts_no_new_job(lease_age):
-    """Leave what was stored after a successor's claim to the successor.
-
-    Symptom: each task of a job ran twice at the same time.  Events: the
-    owner's renewals got no answer, its lease ended, a successor claimed the
-    fleet and was still reading the store; a job was stored, and the first
-    owner, which most workers still obeyed, saw it and started it, and so did
-    the successor.  Cause: only the successor's waiting for old jobs stood
-    between the two, and the job was new to both.
+    """Leave a job stored after a successor's claim to the successor.
+
+    The owner's renewals got no answer, its lease expired, and a successor
+    claimed the fleet and was still loading the stored state.  Then a job was
+    stored.  The first owner, whose calls most workers still accepted, started
+    it, and so did the successor: it holds back only jobs older than its
+    claim, and this one was newer.  Each task ran twice at the same time.
     """
     fleet = Fleet()
     first_owner = fleet.take_over()
@@ -350,7 +345,10 @@
 
 def test_worker_back_while_its_removal_is_stored_is_not_used(
         monkeypatch):
-    """A successor that reads that list would not ask the worker."""
+    """Do not use a worker that returns while its removal is being stored.
+
+    A successor that reads the stored list would not contact the worker.
+    """
     monkeypatch.setattr(link_mod.WorkerLink, "start", lambda self: None)
     fleet = Fleet()
     fence = fleet.store.commit(messages.Transaction(
@@ -386,7 +384,7 @@
 
 
 class Contender:
-    """Let a process compete for a fleet whose store can be silent."""
+    """Let a process compete for a fleet whose store can become unreachable."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -406,8 +404,8 @@
             fleetfakes.configuration, fence, HOLD_MAX_MS)
         return self.fleet.owner
 
-    def outlast_store_outage(self) -> None:
-        """Cut the store off for longer than an owner goes on without it."""
+    def cut_off_store(self) -> None:
+        """Make the store unreachable until the owner has stepped down."""
         self.fleet.store.refuse = True
         owner = self.fleet.owner
         owner.note_lease_renewal(
@@ -429,7 +427,7 @@
 
 
 class AfterOutage(typing.NamedTuple):
-    """What a run has come to when its owner is back from a silence."""
+    """State of the run and its worker when the store is reachable again."""
 
     ended: bool
     worker_answers: bool
@@ -440,13 +438,17 @@
     AfterOutage(True, False), AfterOutage(True, True)])
 def test_no_task_starts_twice_after_its_owner_lost_the_store(
         fleet, contender, case):
-    """An owner whose key outlived a silent store must not reuse its fence."""
+    """Use a new fence after an outage that the owner's key survived.
+
+    With the old fence the runs of the earlier term would be taken for those
+    of the new one, and a task could be started twice.
+    """
     wait_for(lambda: fleet.owner is not None and fleet.owner.recovered)
     fleet.submit(fleetfakes.job("a"))
     wait_for(lambda: fleet.running() == ["a.0.0.0"])
     first = fleet.owner
     running_worker = next(w for w in fleet.workers.values() if w.runs)
-    contender.outlast_store_outage()
+    contender.cut_off_store()
     if case.ended:
         finish(fleet, "a.0.0.0")
     running_worker.mute = not case.worker_answers
