--- a/tests/test_fleet_machine.py
+++ b/tests/test_fleet_machine.py
@@ -1,11 +1,12 @@
-"""Play random faults against the owner's decisions and check its promises.
-
-Time, workers and the store are simulated: orders and their answers are lost
-or carried out late, workers crash, fall silent or lose their leases, some
-tasks crash each worker that starts them, rooms shrink and grow, the store is
-silent for longer than an owner goes on without it, and owners change:
-any process takes the next term, also the one that had the last, and an owner
-that is cut off acts on beside the next one.  Checked is what workers see.
+"""Test the owner's decisions under random faults with a state machine.
+
+Time, workers and the store are simulated.  Orders and their answers are lost
+or delayed; workers crash, become unresponsive or lose their leases; some tasks
+crash every worker that starts them; capacities shrink and grow; the store is
+unreachable for longer than an owner continues without it.  Owners change: any
+process may run the next term, including the one that ran the last, and an
+owner behind a network partition may continue beside its successor.  The checks
+are made on what the workers observe.
 """
 
 import contextlib
@@ -39,22 +40,23 @@
 CAPACITY = 4000
 HOLD_MAX_MS = 6000.0
 CPU_CAPACITIES = (2000, 3000, CAPACITY)
-# A room that has shrunk counts after this.
+# A reduced capacity binds the owner's starts after this time.
 SHRUNK_CAPACITY_DELAY_S = 4.1
-# The spec of jobs whose tasks crash the workers that start them, and how
-# often such a task may be started once three workers have crashed.
+# The spec of jobs whose tasks crash every worker that starts them.
 CRASHING_SPEC = "crashes its workers"
+# A task that has crashed MAX_CRASHES workers may be started MAX_EXTRA_STARTS
+# more times.
 MAX_CRASHES = 3
 MAX_EXTRA_STARTS = 2
-# Events that would end most work if they came as often as others.
+# For events that would end most tasks if they were as frequent as others.
 RARELY = strategies.sampled_from([False, False, False, False, True])
-# How long a split lasts: longer than the earlier owner's leases.
+# How long a partition lasts: longer than the leases of the earlier owner.
 PARTITION_S = 14
-# What belongs to one term of an owner.
+# The attributes of the machine that belong to one term of an owner.
 TERM_ATTRIBUTES = (
     "fleet", "recorder", "process", "has_owner", "lease_renewed_at",
     "store_down", "commit", "orders_in_flight")
-# What becomes of a call to the store.
+# The outcomes of a call to the store.
 CALL_OUTCOMES = strategies.sampled_from(
     ["answered", "answered", "answer lost", "lost", "late"])
 STEPS = (
@@ -69,31 +71,31 @@
 
 @dataclasses.dataclass
 class SentOrder:
-    """An order on its way, with the fence and lease it carries."""
+    """An order in flight, with the fence and lease that it carries."""
 
     worker_id: str
     order: state_mod.Order
     fence: int
-    until_ms: float
-    # When a link sent it.
+    lease_until_ms: float
+    # When a worker link sent it.
     at: float = 0.0
 
 
 @dataclasses.dataclass
 class PendingCommit:
-    """Hold a commit whose outcome isn't known, and the ends it stores."""
+    """Hold a commit of unknown outcome, and the ends of runs it stores."""
 
     values: list[recorder_mod.Value]
-    marks: dict[str, int]
+    stored_upto: dict[str, int]
 
 
 class SimulatedWorker:
-    """Obey fenced orders, and kill what runs when the lease ends."""
+    """Execute fenced orders; kill all runs when the lease expires."""
 
     def __init__(self, entry: messages.WorkerEntry) -> None:
         self.entry = entry
         self.alive = True
-        # Processors it has had, and from when on.
+        # Pairs of a start time and the capacity from then on, in millicores.
         self.capacity_history = [(-100.0, entry.capacity.cpu)]
         self.fence = 0
         self.lease_end_ms = 0.0
@@ -103,10 +105,10 @@
         self.last_end_number = 0
 
     def max_cpu_since(self, at: float) -> int:
-        """Return the most processors it has had since a time."""
-        last = max(begun for begun, _ in self.capacity_history if begun <= at)
-        return max(cpu for begun, cpu in self.capacity_history
-                   if begun >= last)
+        """Return the largest capacity since a time, in millicores."""
+        last = max(since for since, _ in self.capacity_history if since <= at)
+        return max(cpu for since, cpu in self.capacity_history
+                   if since >= last)
 
     def end(self, key: tuple[messages.TaskId, int], how: str) -> None:
         """End one run."""
@@ -126,8 +128,9 @@
         self.now = 100.0
         self.clock_now = clock.now
         clock.now = lambda: self.now
-        # Crashes under tasks, later starts of them, and crashes that an
-        # owner can't know of as it changed before it noticed them.
+        # Per task: crashes of its workers, starts beyond MAX_CRASHES, and
+        # crashes that no owner can know of, because the owner changed before
+        # it detected them.  undetected_crashes maps workers to tasks.
         self.crash_counts: dict[messages.TaskId, int] = {}
         self.extra_starts: dict[messages.TaskId, int] = {}
         self.undetected_crashes: dict[str, messages.TaskId] = {}
@@ -137,39 +140,38 @@
         self.jobs: list[messages.Job] = []
         self.orders_in_flight: list[SentOrder] = []
         self.delayed_orders: list[SentOrder] = []
-        # Tasks that ended as done; those of them whose end the worker may
-        # forget; and those whose worker lists the end and kept its lease.
+        # Tasks that are done; those of them whose end was acknowledged to the
+        # worker; and those whose worker reports the end and kept its lease.
         self.done: set[messages.TaskId] = set()
         self.acknowledged_done: set[messages.TaskId] = set()
         self.reported_done: dict[messages.TaskId, str] = {}
         self.restarted_after_end: set[messages.TaskId] = set()
         self.store = fleetfakes.MemoryStore()
         self.processes = [self._process(f"p{n}") for n in range(PROCESSES)]
-        # Whether there is an owner that gives orders, and which process it
-        # is of.
+        # Whether an owner is sending orders, and the process that runs it.
         self.has_owner = False
         self.process = self.processes[0]
         self.lease_renewed_at = self.now
         self.store_down = False
         self.commit: PendingCommit | None = None
-        # The term of an owner that was cut off and may still act.
+        # The term of an owner behind a partition that may still act.
         self.partitioned_term: dict[str, typing.Any] = {}
-        for place in range(WORKERS):
-            self._new_worker(place)
+        for address_number in range(WORKERS):
+            self._new_worker(address_number)
         self._take_over(0, "answered")
         self.report_store_and_place()
         self.submit(STEPS[1])
 
     def teardown(self) -> None:
-        """Give the clock back."""
+        """Restore the clock."""
         clock.now = self.clock_now
 
-    # What surrounds the owner
+    # The environment of the owner
 
-    def _new_worker(self, place: int) -> SimulatedWorker:
+    def _new_worker(self, address_number: int) -> SimulatedWorker:
         self.incarnation += 1
         entry = dataclasses.replace(
-            fleetfakes.entry(place, cpu=CAPACITY),
+            fleetfakes.entry(address_number, cpu=CAPACITY),
             worker_id=f"i-{self.incarnation}")
         worker = SimulatedWorker(entry)
         self.workers[entry.worker_id] = worker
@@ -187,17 +189,17 @@
 
     @staticmethod
     def _no_owner(fence: int) -> owner_mod.Owner:
-        raise AssertionError("owners are made by the machine")
+        raise AssertionError("the state machine creates the owners")
 
     def _step_down(self, *_: str) -> None:
-        """Give no more orders; calls under way may be carried out late."""
+        """Send no more orders; those in flight may be executed late."""
         if not self.has_owner:
             return
         self.has_owner = False
         self.commit = None
         for sent_order in self.orders_in_flight:
             if isinstance(sent_order.order, messages.StartOrder):
-                sent_order.until_ms = self._grant_lease(
+                sent_order.lease_until_ms = self._grant_lease(
                     sent_order.worker_id) or 0.0
         self.delayed_orders += self.orders_in_flight
         self.orders_in_flight = []
@@ -210,7 +212,10 @@
 
     @contextlib.contextmanager
     def _as_partitioned_owner(self) -> typing.Iterator[bool]:
-        """Act as the owner that was cut off; tell whether it still acts."""
+        """Act as the owner behind a partition.
+
+        Yields whether that owner is still sending orders.
+        """
         if not self.partitioned_term:
             yield False
             return
@@ -222,10 +227,10 @@
 
     def _claim(self, process: ownership_mod.Ownership,
                call_outcome: str) -> int:
-        """Let a process that may claim the fleet do so; return the fence."""
+        """Let a process claim the fleet; return the fence."""
         owner = self.store.items.get(records.OWNER_KEY)
         if owner is not None and owner.value != process.identity:
-            # Others wait until the lease that holds the key is over.
+            # Another process can claim the key only once its lease expires.
             for lease, keys in list(self.store.leases.items()):
                 if records.OWNER_KEY in keys:
                     self.store.end_lease(lease)
@@ -241,18 +246,18 @@
         return fence
 
     def _set_commit_outcome(self, call_outcome: str) -> None:
-        """Choose what becomes of the next commit."""
+        """Choose the outcome of the next commit."""
         self.store.lose_answers = int(call_outcome == "answer lost")
         self.store.lose_calls = int(call_outcome == "lost")
         self.store.keep_late = int(call_outcome == "late")
 
-    def _take_over(self, number: int, call_outcome: str) -> None:
+    def _take_over(self, process_index: int, call_outcome: str) -> None:
         self._step_down()
         for task in self.undetected_crashes.values():
             self.undetectable_crashes[task] = self.undetectable_crashes.get(
                 task, 0) + 1
-        fence = self._claim(self.processes[number], call_outcome)
-        self.process = self.processes[number]
+        fence = self._claim(self.processes[process_index], call_outcome)
+        self.process = self.processes[process_index]
         self.has_owner = True
         self.fleet = state_mod.FleetState(
             fence, HOLD_MAX_MS, self._send, fleetfakes.configuration)
@@ -260,7 +265,7 @@
         self.recorder = recorder_mod.Recorder(
             self.store, self.fleet, records.OWNER_KEY, lambda: True,
             self._step_down, lambda _: None)
-        # Each call of the recorder is then one try.
+        # Makes each call of the recorder a single attempt.
         self.recorder.stopped.set()
         for job in self.jobs:
             state = self._add_job(
@@ -307,7 +312,7 @@
         self.fleet.enrol(stored_addresses)
 
     def _read_worker_list(self) -> None:
-        """Read the list of workers; crashed ones stay on it for a while."""
+        """Read the list of workers; crashed ones stay listed for a while."""
         entries = [w.entry for w in self.workers.values()
                    if w.alive or w.entry.worker_id in self.undetected_crashes]
         for entry in entries:
@@ -328,10 +333,10 @@
             return None
         return state.lease_until(workerstate.LEASE_MS, self.now)
 
-    # What workers check
+    # Checks made by the workers
 
     def _execute_order(self, sent_order: SentOrder) -> str:
-        """Carry out an order; return why not, or nothing."""
+        """Execute an order; return the reason for a refusal, or nothing."""
         worker = self.workers[sent_order.worker_id]
         if not worker.alive:
             return "gone"
@@ -358,9 +363,10 @@
         if (run <= worker.last_ended_run.get(task, 0)
                 or any(t == task for t, _ in worker.runs)):
             return surroundings.OLD_RUN
-        if sent_order.until_ms <= self.now * 1000.0:
+        if sent_order.lease_until_ms <= self.now * 1000.0:
             return surroundings.LATE
-        worker.lease_end_ms = max(worker.lease_end_ms, sent_order.until_ms)
+        worker.lease_end_ms = max(
+            worker.lease_end_ms, sent_order.lease_until_ms)
         step = self._job(task).steps[task.step]
         worker.runs[key] = step.reserved()
         self._check_start(worker, task, step, sent_order.at)
@@ -376,17 +382,17 @@
             self.extra_starts[task] = extra
             assert (extra <= MAX_EXTRA_STARTS
                     + self.undetectable_crashes.get(task, 0)), (
-                f"{task} is not given up")
+                f"{task} is started again after too many crashes")
         self.crash_counts[task] = self.crash_counts.get(task, 0) + 1
 
     def _check_start(self, worker: SimulatedWorker, task: messages.TaskId,
                      step: messages.Step, sent_at: float) -> None:
         used = sum(room.cpu for room in worker.runs.values())
         limit = worker.max_cpu_since(sent_at - SHRUNK_CAPACITY_DELAY_S)
-        assert used <= limit, f"{worker.entry.worker_id} is overfilled"
-        places = [w.entry.worker_id for w in self._alive()
-                  for t, _ in w.runs if t == task]
-        assert len(places) == 1, f"{task} runs on {places}"
+        assert used <= limit, f"{worker.entry.worker_id} is overcommitted"
+        worker_ids = [w.entry.worker_id for w in self._alive()
+                      for t, _ in w.runs if t == task]
+        assert len(worker_ids) == 1, f"{task} runs on {worker_ids}"
         assert task not in self.acknowledged_done, (
             f"{task} starts after its end")
         if task in self.reported_done:
@@ -403,7 +409,7 @@
     # Events
 
     def _store_key(self, key: str, value: bytes) -> int:
-        """Write a key as an entry process does."""
+        """Write a key in the way an entry process does."""
         self._set_commit_outcome("answered")
         return self.store.commit(messages.Transaction(
             puts=(messages.Put(key, value),)))
@@ -469,17 +475,17 @@
     @stateful.rule(data=strategies.data())
     def outage_outlasts_the_owner(self, data: strategies.DataObject
                                   ) -> None:
-        """Let the owner go on with most workers until it steps down."""
-        heard = data.draw(strategies.permutations(self._alive()))[1:]
+        """Let the owner continue with most workers until it steps down."""
+        reached = data.draw(strategies.permutations(self._alive()))[1:]
         while self.has_owner:
             self.pass_time(1.0)
-            for worker in heard if self.has_owner else ():
+            for worker in reached if self.has_owner else ():
                 self._report(worker, True)
 
     @stateful.precondition(lambda self: self.store_down)
     @stateful.rule(lease_ended=strategies.booleans())
     def store_recovers(self, lease_ended: bool) -> None:
-        """Let the store return; its leases paused, or ran out."""
+        """Make the store reachable; its leases were paused or expired."""
         self.store_down = self.store.refuse = False
         if lease_ended:
             self.store.end_lease(self.process.lease_id)
@@ -487,17 +493,17 @@
 
     @stateful.precondition(lambda self: self.has_owner and not self.store_down)
     @stateful.rule(data=strategies.data(), lease_ended=strategies.booleans(),
-                   number=strategies.integers(0, PROCESSES - 1),
+                   process_index=strategies.integers(0, PROCESSES - 1),
                    call_outcome=CALL_OUTCOMES)
     def takeover_after_store_outage(
-            self, data: strategies.DataObject, lease_ended: bool, number: int,
-            call_outcome: str) -> None:
-        """Change owners by a silence, and let the new one hear a worker."""
+            self, data: strategies.DataObject, lease_ended: bool,
+            process_index: int, call_outcome: str) -> None:
+        """Change owners by a store outage; let one worker report."""
         self.store_becomes_unreachable(True)
         self.outage_outlasts_the_owner(data)
         self.run_ends(data, "done")
         self.store_recovers(lease_ended)
-        self._take_over(number, call_outcome)
+        self._take_over(process_index, call_outcome)
         self.report(data, True)
         self._place()
         self.all_orders_arrive()
@@ -506,15 +512,15 @@
     @stateful.rule(data=strategies.data(), call_outcome=CALL_OUTCOMES)
     def network_partition(self, data: strategies.DataObject,
                           call_outcome: str) -> None:
-        """Cut an owner off with some workers, and let another take over."""
+        """Isolate an owner with some workers, and let another take over."""
         workers = data.draw(strategies.permutations(self._alive()))
         reached = data.draw(strategies.integers(0, WORKERS))
         self.store_down = True
         for _ in range(3):
             self.pass_time(0.8)
             self._exchange(workers[:reached], workers[reached:])
-        self.partitioned_term = {name: getattr(
-            self, name) for name in TERM_ATTRIBUTES}
+        self.partitioned_term = {
+            name: getattr(self, name) for name in TERM_ATTRIBUTES}
         self.has_owner = self.store_down = False
         self.orders_in_flight, self.commit = [], None
         self._take_over(1 - self.processes.index(self.process), call_outcome)
@@ -526,7 +532,7 @@
 
     def _exchange(self, reached: list[SimulatedWorker],
                   unreached: list[SimulatedWorker]) -> None:
-        """Let an owner reach some workers, and act."""
+        """Let an owner get reports of the reached workers, and act."""
         for worker in reached if self.has_owner else ():
             self._report(worker, True)
         for worker in unreached if self.has_owner else ():
@@ -560,7 +566,7 @@
     @stateful.precondition(lambda self: self.has_owner)
     @stateful.rule()
     def report_store_and_place(self) -> None:
-        """Let all workers report, store what came, and place."""
+        """Let all workers report, store their reports, and place tasks."""
         for worker in self._alive():
             self._report(worker, True)
         self.store_progress("answered")
@@ -571,7 +577,7 @@
     @stateful.precondition(lambda self: self.jobs and self.has_owner)
     @stateful.rule()
     def deliver_everything(self) -> None:
-        """Let all go well for a moment."""
+        """Run one round without faults."""
         self.report_store_and_place()
         self.all_orders_arrive()
 
@@ -585,7 +591,7 @@
     @stateful.rule(call_outcome=strategies.sampled_from(
         ["answered", "answered", "answer lost", "lost", "late", "late"]))
     def order_arrives(self, call_outcome: str) -> None:
-        """Let the oldest order arrive, or not, as a link sends it."""
+        """Deliver or lose the oldest order, in the way a worker link does."""
         if not self.orders_in_flight:
             return
         sent_order = self.orders_in_flight.pop(0)
@@ -610,12 +616,12 @@
         assert isinstance(order, messages.StartOrder)
         if not answers.still_wanted(self.fleet, sent_order.worker_id, order):
             return
-        until = self._grant_lease(sent_order.worker_id)
-        if until is None:
+        lease_until_ms = self._grant_lease(sent_order.worker_id)
+        if lease_until_ms is None:
             answers.rejected(self.fleet, sent_order.worker_id, order,
                              "no lease", self.now)
             return
-        sent_order.until_ms = until
+        sent_order.lease_until_ms = lease_until_ms
         sent_order.at = self.now
         if call_outcome in ("lost", "late"):
             if call_outcome == "late":
@@ -654,7 +660,7 @@
             return
         if not self.store_down:
             self.fleet.add_worker(worker.entry)
-        until = self._grant_lease(worker_id)
+        lease_until_ms = self._grant_lease(worker_id)
         if not answered:
             self.fleet.worker_silent(worker_id, "no answer")
             return
@@ -662,8 +668,8 @@
             self._step_down()
             return
         worker.fence = self.fleet.fence
-        if until is not None:
-            worker.lease_end_ms = max(worker.lease_end_ms, until)
+        if lease_until_ms is not None:
+            worker.lease_end_ms = max(worker.lease_end_ms, lease_until_ms)
         reports.take(self.fleet, worker_id, messages.WorkerReport(
             self.now * 1000.0,
             tuple(messages.RunningTask(task, run, "", 10)
@@ -673,9 +679,9 @@
     @stateful.precondition(lambda self: self.has_owner)
     @stateful.rule(call_outcome=CALL_OUTCOMES)
     def store_progress(self, call_outcome: str) -> None:
-        """Store progress; then let workers be used and forget ends.
+        """Store progress; then enrol workers and acknowledge ends of runs.
 
-        A commit without an answer is sent again until its outcome is known.
+        A commit without an answer is repeated until its outcome is known.
         """
         commit = self.commit or self._next_commit()
         outcome = recorder_mod.Outcome.STORED
@@ -687,26 +693,26 @@
         self.commit = (
             commit if outcome is recorder_mod.Outcome.DEPOSED else None)
         if outcome is recorder_mod.Outcome.STORED:
-            self._forget_ends(commit.marks)
+            self._acknowledge_ends(commit.stored_upto)
 
     def _next_commit(self) -> PendingCommit:
-        marks = {worker_id: known.processed
-                 for worker_id, known in self.fleet.workers.items()}
+        stored_upto = {worker_id: worker.processed
+                       for worker_id, worker in self.fleet.workers.items()}
         values = self.recorder._job_values()
         self.recorder._fleet_value(values)
-        return PendingCommit(values, marks)
+        return PendingCommit(values, stored_upto)
 
-    def _forget_ends(self, marks: dict[str, int]) -> None:
-        for worker_id, mark in marks.items():
+    def _acknowledge_ends(self, stored_upto: dict[str, int]) -> None:
+        for worker_id, upto in stored_upto.items():
             worker = self.workers[worker_id]
             for ended in worker.ended:
-                if (ended.number <= mark and ended.how == messages.DONE
+                if (ended.number <= upto and ended.how == messages.DONE
                         and not self._is_long_running(ended.task)):
                     assert (self.reported_done.get(ended.task) != worker_id
                             or ended.task not in self.restarted_after_end), (
                         f"{ended.task} started after its end")
                     self.acknowledged_done.add(ended.task)
-            worker.ended = [e for e in worker.ended if e.number > mark]
+            worker.ended = [e for e in worker.ended if e.number > upto]
 
     def _is_long_running(self, task: messages.TaskId) -> bool:
         return self._job(task).steps[task.step].perpetual
@@ -743,8 +749,8 @@
         self.reported_done = {
             task: worker_id for task, worker_id in self.reported_done.items()
             if worker_id != worker.entry.worker_id}
-        place = int(worker.entry.address.split(".")[3].split(":")[0])
-        self._new_worker(place)
+        address_number = int(worker.entry.address.split(".")[3].split(":")[0])
+        self._new_worker(address_number)
 
     @stateful.precondition(lambda self: not self.store_down)
     @stateful.rule(step=strategies.sampled_from(
@@ -767,16 +773,16 @@
         and any(job.spec == CRASHING_SPEC for job in self.jobs))
     @stateful.rule(cycles=strategies.integers(4, 12),
                    change_at=strategies.integers(0, 24),
-                   number=strategies.integers(0, PROCESSES - 1),
+                   process_index=strategies.integers(0, PROCESSES - 1),
                    call_outcome=CALL_OUTCOMES)
-    def repeated_crashes(self, cycles: int, change_at: int, number: int,
+    def repeated_crashes(self, cycles: int, change_at: int, process_index: int,
                          call_outcome: str) -> None:
-        """Let tasks crash workers, with an owner that changes meanwhile."""
+        """Let tasks crash workers while the owner changes."""
         for cycle in range(cycles):
             if self.store_down or not self.has_owner:
                 return
             if cycle == change_at:
-                self._take_over(number, call_outcome)
+                self._take_over(process_index, call_outcome)
             self.deliver_everything()
             if self.has_owner and cycle + 1 != change_at:
                 self.crashes_are_detected()
@@ -797,7 +803,7 @@
     @stateful.rule(cpu=strategies.sampled_from(CPU_CAPACITIES), applies=RARELY)
     def capacities_change_in_a_store_outage(self, cpu: int,
                                             applies: bool) -> None:
-        """Let runs end on workers whose new room nobody can read."""
+        """Let runs end on workers whose new capacity cannot be read."""
         if not applies:
             return
         self.submit(STEPS[4])
@@ -812,16 +818,17 @@
             self._exchange(self._alive(), [])
 
     @stateful.precondition(lambda self: not self.store_down)
-    @stateful.rule(number=strategies.integers(0, PROCESSES - 1),
+    @stateful.rule(process_index=strategies.integers(0, PROCESSES - 1),
                    call_outcome=CALL_OUTCOMES, applies=RARELY)
-    def take_over(self, number: int, call_outcome: str, applies: bool) -> None:
-        """Let a process take the next term, at once if there is no owner."""
+    def take_over(self, process_index: int, call_outcome: str,
+                  applies: bool) -> None:
+        """Start the next term; without an owner, in every case."""
         if self.has_owner and not applies:
             return
         if self.has_owner:
             self._step_down()
             self.process.release(self.fleet.fence)
-        self._take_over(number, call_outcome)
+        self._take_over(process_index, call_outcome)
 
     @stateful.invariant()
     def only_crashing_tasks_are_given_up(self) -> None:
--- a/tests/test_fleet_owner_terms.py
+++ b/tests/test_fleet_owner_terms.py
@@ -1,4 +1,4 @@
-"""Show that the terms of owners begin and end without leaving anything."""
+"""Test that terms of owners start and end without leaving anything behind."""
 
 import threading
 
@@ -21,12 +21,15 @@
 
 
 def wait_for(condition):
-    """Wait until something holds."""
+    """Wait until a condition holds."""
     test_fleet_takeover.wait_for(condition)
 
 
 def test_worker_counts_as_reported_only_once_all_its_ends_are_listed():
-    """Ends beyond the first page may be those of tasks that wait."""
+    """Place no old task before a worker has listed all its ends of runs.
+
+    Ends beyond the first page may be those of tasks that wait to be placed.
+    """
     bench = test_fleet_state.Bench()
     bench.state.add_worker(fleetfakes.entry(0))
     bench.state.enrol(["i-0"])
@@ -52,7 +55,7 @@
 
 
 def test_term_that_ends_during_recovery_leaves_no_threads(fleet):
-    """Links that begin after the term has ended must end as well."""
+    """Close worker links that are started after the term has ended."""
     owner = owner_mod.Owner(
         fleet.store, fleet.worker_list,
         lambda entry: fleet.workers[entry.worker_id],
@@ -70,7 +73,7 @@
 
 
 def make_ownership(store, make_owner):
-    """Return a contender that sees the fleet as free."""
+    """Return the Ownership of a process that sees the fleet as free."""
     watcher = controlwatcher.ControlWatcher(
         store, "op/c", lambda value: messages.Configuration())
     watcher.configuration_known = watcher.owner_known = True
@@ -78,7 +81,7 @@
 
 
 class BlockingGrantStore(fleetfakes.MemoryStore):
-    """Hold back the answer to a grant until told to go on."""
+    """Block grants of leases until unblock_grant is set."""
 
     def __init__(self):
         super().__init__()
@@ -92,7 +95,10 @@
 
 
 def test_claim_pending_at_a_planned_stop_starts_no_term():
-    """A process that exits must not leave a key that nobody gives back."""
+    """Start no term if the process stops while its claim is in flight.
+
+    The process exits, so nobody would release the owner's key.
+    """
     store = BlockingGrantStore()
     owners = []
 
@@ -118,13 +124,16 @@
 
 
 def test_term_that_fails_during_recovery_gives_up_the_fleet():
-    """Its lease must not be renewed for ever with nobody at work."""
+    """Give up the fleet after an unexpected error during recovery.
+
+    Otherwise the lease would be renewed for ever although no owner runs.
+    """
     store = fleetfakes.MemoryStore()
     owners = []
 
     class FailingWorkerList(fleetfakes.MemoryRoster):
         def workers(self):
-            raise RuntimeError("unforeseen")
+            raise RuntimeError("unexpected")
 
     def make_owner(fence):
         owners.append(owner_mod.Owner(
@@ -152,7 +161,11 @@
 
 
 def test_lease_checked_before_a_freeze_is_not_extended_after_it(monkeypatch):
-    """Waking up, an owner must not lengthen what it could give before."""
+    """Count a lease from before the check that it may be granted.
+
+    If the process freezes after the check, the lease must not end later than
+    if it had been granted at once.
+    """
     bench = test_fleet_state.Bench()
     bench.now = clock.now()
     bench.state.add_worker(fleetfakes.entry(0))
@@ -176,7 +189,7 @@
 
 
 def test_memory_store_never_reuses_a_lease_id():
-    """A claim's new lease must not take the place of one that lives."""
+    """Give a new lease an ID that differs from all live ones."""
     store = fleetfakes.MemoryStore()
     first, second = store.grant(2000), store.grant(2000)
     store.commit(messages.Transaction(
@@ -186,7 +199,7 @@
 
 
 class InterruptedCommitStore(fleetfakes.MemoryStore):
-    """Do something between the making of a transaction and its effect."""
+    """Call before_commit once before a transaction takes effect."""
 
     before_commit = None
 
@@ -198,20 +211,23 @@
 
 
 def test_worker_is_not_used_while_its_removal_is_stored():
-    """A successor asks only the workers on the stored list."""
+    """Do not use a worker that the list being stored no longer has.
+
+    A successor contacts only the workers on the stored list.
+    """
     store = InterruptedCommitStore()
     store.commit(messages.Transaction(
         puts=(messages.Put(records.OWNER_KEY, b"me"),)))
-    fleet = fleetfakes.MemoryRoster([fleetfakes.entry(0),
-                                     fleetfakes.entry(1)])
+    worker_list = fleetfakes.MemoryRoster([fleetfakes.entry(0),
+                                           fleetfakes.entry(1)])
     workers = {e.worker_id: fleetfakes.MemoryWorker(e.worker_id)
-               for e in fleet.entries}
+               for e in worker_list.entries}
     owner = owner_mod.Owner(
-        store, fleet, lambda entry: workers[entry.worker_id],
+        store, worker_list, lambda entry: workers[entry.worker_id],
         fleetfakes.configuration, store.items[records.OWNER_KEY].revision,
         HOLD_MAX_MS)
     try:
-        owner.worker_links.update_workers(fleet.entries)
+        owner.worker_links.update_workers(worker_list.entries)
         assert owner.recorder.flush()
         wait_for(lambda: all(w.usable(clock.now())
                              for w in owner.fleet.workers.values()))
@@ -219,7 +235,7 @@
             owner.fleet._gone(owner.fleet.workers["i-0"], "lease over")
 
         def worker_is_relisted():
-            owner.worker_links.update_workers(fleet.entries)
+            owner.worker_links.update_workers(worker_list.entries)
             wait_for(lambda: owner.fleet.workers["i-0"].reported)
 
         store.before_commit = worker_is_relisted
@@ -233,7 +249,7 @@
 
 
 class OutageAfterRemovalStore(fleetfakes.MemoryStore):
-    """Go silent once a list of workers without one of them is stored."""
+    """Refuse calls once a list without removed_worker_id is stored."""
 
     removed_worker_id = ""
     before_commit = None
@@ -252,7 +268,10 @@
 
 
 def test_no_task_starts_twice_if_its_worker_was_being_unlisted():
-    """A worker back while its removal is stored is unknown to successors."""
+    """Start no task on a worker that returns while its removal is stored.
+
+    A successor would not know the worker, and would start the task again.
+    """
     fleet = test_fleet_takeover.Fleet()
     fleet.store = OutageAfterRemovalStore()
     fleet.take_over()
