--- a/sycamorefield/fleet/owner.py
+++ b/sycamorefield/fleet/owner.py
@@ -88,8 +88,8 @@
     def _send_order(self, worker_id: str, order: state_mod.Order) -> None:
         self.worker_links.send_order(worker_id, order)
 
-    def _acknowledge_ends(self, stored_upto: dict[str, int]) -> None:
-        self.worker_links.acknowledge_ends(stored_upto)
+    def _acknowledge_ends(self, stored_ends: dict[str, int]) -> None:
+        self.worker_links.acknowledge_ends(stored_ends)
 
     def may_act(self) -> bool:
         """Return whether orders may still be sent.
--- a/sycamorefield/fleet/workerlinks.py
+++ b/sycamorefield/fleet/workerlinks.py
@@ -38,12 +38,12 @@
         if link is not None:
             link.orders.put(order)
 
-    def acknowledge_ends(self, stored_upto: dict[str, int]) -> None:
+    def acknowledge_ends(self, stored_ends: dict[str, int]) -> None:
         """Acknowledge the ends of runs up to the stored numbers.
 
         Workers then stop reporting them.
         """
-        for worker_id, number in stored_upto.items():
+        for worker_id, number in stored_ends.items():
             link = self.links.get(worker_id)
             if link is not None:
                 link.mark_seen(number)
--- a/tests/test_fleet_machine.py
+++ b/tests/test_fleet_machine.py
@@ -86,7 +86,7 @@
     """Hold a commit of unknown outcome, and the ends of runs it stores."""
 
     values: list[recorder_mod.Value]
-    stored_upto: dict[str, int]
+    stored_ends: dict[str, int]
 
 
 class SimulatedWorker:
@@ -693,17 +693,17 @@
         self.commit = (
             commit if outcome is recorder_mod.Outcome.DEPOSED else None)
         if outcome is recorder_mod.Outcome.STORED:
-            self._acknowledge_ends(commit.stored_upto)
+            self._acknowledge_ends(commit.stored_ends)
 
     def _next_commit(self) -> PendingCommit:
-        stored_upto = {worker_id: worker.processed
+        stored_ends = {worker_id: worker.processed
                        for worker_id, worker in self.fleet.workers.items()}
         values = self.recorder._job_values()
         self.recorder._fleet_value(values)
-        return PendingCommit(values, stored_upto)
+        return PendingCommit(values, stored_ends)
 
-    def _acknowledge_ends(self, stored_upto: dict[str, int]) -> None:
-        for worker_id, upto in stored_upto.items():
+    def _acknowledge_ends(self, stored_ends: dict[str, int]) -> None:
+        for worker_id, upto in stored_ends.items():
             worker = self.workers[worker_id]
             for ended in worker.ended:
                 if (ended.number <= upto and ended.how == messages.DONE
--- a/tests/test_fleet_ownership.py
+++ b/tests/test_fleet_ownership.py
@@ -83,8 +83,8 @@
 def test_delayed_claim_fails_if_another_claimed_meanwhile():
     """Check the key again after waiting for stronger VMs."""
     store = fleetfakes.MemoryStore()
-    strong_vm, weak_vm = make_ownership(
-        store, "s"), make_ownership(store, "w", 0.3)
+    strong_vm, weak_vm = (make_ownership(store, "s"),
+                          make_ownership(store, "w", 0.3))
     for contender in (strong_vm, weak_vm):
         see_owner_key(contender)
         contender.watcher.configuration_known = True
@@ -137,9 +137,9 @@
     store = BlockingReadStore()
     ownership = make_ownership(store, "a")
     ownership.watcher.owner_known = True
-    owner = types.SimpleNamespace(fence=7, stepped_down=threading.Event(),
-                                  step_down=lambda reason:
-                                  owner.stepped_down.set())
+    owner = types.SimpleNamespace(
+        fence=7, stepped_down=threading.Event(),
+        step_down=lambda reason: owner.stepped_down.set())
     checking_thread = threading.Thread(
         target=ownership._watch_owner_key, args=(owner,))
     checking_thread.start()
@@ -208,10 +208,10 @@
         puts=(messages.Put(records.OWNER_KEY, b"me"),)))
     fleet = state_mod.FleetState(2, 6000.0, lambda *_: None,
                                  fleetfakes.configuration)
-    seen: list[dict[str, int]] = []
+    acknowledged: list[dict[str, int]] = []
     recorder = recorder_mod.Recorder(
         store, fleet, records.OWNER_KEY, lambda: True, lambda _: None,
-        seen.append)
+        acknowledged.append)
     fleet.add_worker(fleetfakes.entry(0))
     recorder.addresses = {"i-0": fleetfakes.entry(0).address}
     recorder.counted_at = time.monotonic()
@@ -223,9 +223,9 @@
     for thread in threads:
         thread.start()
     threads[1].join(0.3)
-    assert not seen
+    assert not acknowledged
     store.refuse = False
     for thread in threads:
         thread.join(5)
-    assert {"i-0": 7} in seen
+    assert {"i-0": 7} in acknowledged
     assert records.progress_key("j") in store.items
--- a/tests/test_fleet_takeover.py
+++ b/tests/test_fleet_takeover.py
@@ -446,18 +446,18 @@
     wait_for(lambda: fleet.owner is not None and fleet.owner.recovered)
     fleet.submit(fleetfakes.job("a"))
     wait_for(lambda: fleet.running() == ["a.0.0.0"])
-    first = fleet.owner
+    first_owner = fleet.owner
     running_worker = next(w for w in fleet.workers.values() if w.runs)
     contender.cut_off_store()
     if case.ended:
         finish(fleet, "a.0.0.0")
     running_worker.mute = not case.worker_answers
     fleet.store.refuse = False
-    wait_for(lambda: fleet.owner is not first and fleet.owner.recovered)
+    wait_for(lambda: fleet.owner is not first_owner and fleet.owner.recovered)
     fleet.submit(fleetfakes.job("b"))
     wait_for(lambda: "b.0.0.0" in fleet.running())
     assert fleet.starts().count("a.0.0.0") == 1
-    assert fleet.owner.fence > first.fence
+    assert fleet.owner.fence > first_owner.fence
     running_worker.mute = False
     wait_for(lambda: not fleet.owner.fleet.unheard)
     assert fleet.starts().count("a.0.0.0") == 1
