--- a/sycamorefield/fleet/jobrequests.py
+++ b/sycamorefield/fleet/jobrequests.py
@@ -15,10 +15,11 @@
 from sycamorefield.fleet import records
 from sycamorefield.fleet import surroundings
 
-# After this many calls that the store refused (nothing was written), the
-# caller is told to retry later.  A single 429 is over in milliseconds.
+# A write that the store refuses (nothing is stored) is attempted this many
+# times before the caller is told to retry later: a single 429 is over in
+# milliseconds.
 MAX_REFUSED_TRIES = 3
-# After this many calls without an answer the caller is told so.  It may retry
+# After this many writes without an answer the caller is told so.  It may retry
 # through another VM that reaches the store.
 MAX_UNANSWERED_TRIES = 2
 RETRY_PAUSE_S = 0.06
--- a/sycamorefield/fleet/jobwatcher.py
+++ b/sycamorefield/fleet/jobwatcher.py
@@ -15,7 +15,7 @@
 
 
 class JobWatcher:
-    """Add stored jobs and cancellations until the owner steps down."""
+    """Add submitted jobs and apply cancellations from the store."""
 
     def __init__(self, store: surroundings.Store,
                  fleet: state_mod.FleetState,
@@ -57,7 +57,7 @@
     def _list_again(self, after_revision: int) -> int:
         """List all jobs; return the revision to continue from.
 
-        A failed watch may have stopped delivering changes before it failed.
+        A watch may have missed changes before it failed.
         """
         try:
             listing = self.store.listing(records.JOB_PREFIX)
