--- /dev/null
+++ b/sycamorefield/fleet/controlwatcher.py
@@ -0,0 +1,123 @@
+"""Watch the operators' configuration and the owner's key in the store."""
+
+import threading
+import typing
+
+from sycamorefield import events
+from sycamorefield.fleet import clock
+from sycamorefield.fleet import interfaces
+from sycamorefield.fleet import messages
+from sycamorefield.fleet import records
+
+# The longest that one watch call waits for changes.  A watch may stop
+# delivering changes before its connection fails.  As each call is this short,
+# and the keys are listed again with a linearizable read after a failure, a
+# change is seen at most this long after it was made.
+WATCH_WAIT_MS = 1000
+RETRY_PAUSE_S = 0.1
+
+DecodeConfiguration = typing.Callable[[bytes], messages.Configuration]
+
+
+class ControlWatcher:
+    """Hold the latest configuration and owner's key read from the store."""
+
+    def __init__(self, store: interfaces.Store, config_key: str,
+                 decode: DecodeConfiguration) -> None:
+        self.store = store
+        self.config_key = config_key
+        self.decode = decode
+        self.latest_configuration = messages.Configuration()
+        self.config_revision = 0
+        self.configuration_known = False
+        self.owner_item: messages.Item | None = None
+        self.owner_known = False
+        # The store's revision as of which the owner's key is known.
+        self.owner_revision = 0
+        self.last_answer_at = 0.0
+        self.store_reachable = True
+        self.owner_changed = threading.Condition()
+        self.stopped = threading.Event()
+
+    def configuration(self) -> messages.Configuration:
+        """Return the latest configuration read from the store."""
+        return self.latest_configuration
+
+    def run(self) -> None:
+        """List and watch the keys until stopped.
+
+        The keys are listed again after each failure of the watch.
+        """
+        while not self.stopped.is_set():
+            try:
+                self._watch_changes(self._list_keys())
+            except interfaces.HistoryCompacted:
+                continue
+            except interfaces.CallFailed as exc:
+                self._note_store_lost(str(exc))
+                self.stopped.wait(RETRY_PAUSE_S)
+
+    def _list_keys(self) -> int:
+        listing = self.store.listing(records.WATCHED_PREFIX)
+        self._note_store_answered()
+        items_by_key = {item.key: item for item in listing.items}
+        for item in listing.items:
+            self._apply_configuration(item.key, item)
+        self._set_owner(items_by_key.get(records.OWNER_KEY), listing.revision)
+        return listing.revision
+
+    def _watch_changes(self, revision: int) -> None:
+        while not self.stopped.is_set():
+            response = self.store.watch(records.WATCHED_PREFIX, revision,
+                                        WATCH_WAIT_MS)
+            self._note_store_answered()
+            for change in response.changes:
+                # Only a change may advance the revision: a stalled watch
+                # returns empty answers although keys have changed.
+                revision = max(revision, change.revision)
+                if change.key == records.OWNER_KEY:
+                    self._set_owner(change.item, change.revision)
+                elif change.item is not None:
+                    self._apply_configuration(change.key, change.item)
+
+    def _note_store_answered(self) -> None:
+        self.last_answer_at = clock.now()
+        if not self.store_reachable:
+            self.store_reachable = True
+            events.emit(events.STORE_REGAINED)
+
+    def _note_store_lost(self, reason: str) -> None:
+        if self.store_reachable:
+            self.store_reachable = False
+            self.owner_known = False
+            events.emit(events.STORE_LOST, reason=reason)
+
+    def _apply_configuration(self, key: str, item: messages.Item) -> None:
+        if key != self.config_key or item.revision <= self.config_revision:
+            return
+        try:
+            decoded = self.decode(item.value)
+        except ValueError as exc:
+            events.emit(events.CONFIG_UNREADABLE, revision=item.revision,
+                        reason=str(exc))
+            return
+        self.latest_configuration = decoded
+        self.config_revision = item.revision
+        self.configuration_known = True
+        events.emit(events.CONFIG_APPLIED, version=decoded.version,
+                    queues=len(decoded.queues), revision=item.revision)
+
+    def _set_owner(self, item: messages.Item | None, revision: int) -> None:
+        with self.owner_changed:
+            self.owner_item = item
+            self.owner_known = True
+            self.owner_revision = max(self.owner_revision, revision)
+            self.owner_changed.notify_all()
+
+    def apply_owner_read(self, item: messages.Item | None) -> None:
+        """Apply a read of the owner's key unless newer state is known."""
+        with self.owner_changed:
+            if item is not None and item.revision < self.owner_revision:
+                return
+            self.owner_item = item
+            self.owner_changed.notify_all()
--- /dev/null
+++ b/sycamorefield/fleet/jobrequests.py
@@ -0,0 +1,217 @@
+"""Accept and cancel jobs and return their status, using the store alone.
+
+No owner is needed: a job is accepted once its record is stored.
+"""
+
+import collections
+import dataclasses
+import threading
+import typing
+
+from sycamorefield import events
+from sycamorefield.fleet import clock
+from sycamorefield.fleet import interfaces
+from sycamorefield.fleet import messages
+from sycamorefield.fleet import progress
+from sycamorefield.fleet import records
+
+# A write that the store refuses (nothing is stored) is attempted this many
+# times before the caller is told to retry later: a single 429 is over in
+# milliseconds.
+MAX_REFUSED_TRIES = 3
+# After this many writes without an answer the caller is told so.  It may retry
+# through another VM that reaches the store.
+MAX_UNANSWERED_TRIES = 2
+RETRY_PAUSE_S = 0.06
+# Part of the caller's deadline reserved for delivering the answer.
+ANSWER_MARGIN_S = 0.15
+DEFAULT_DEADLINE_S = 3.0
+# Callers give up about 3 s after their first request, so this leaves time for
+# two more attempts through other VMs.
+RETRY_AFTER_S = 1
+# Bounds the memory for known job IDs and uncertain keys.
+MAX_REMEMBERED_NAMES = 20_000
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Accepted:
+    """The job or its cancellation is stored."""
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Refused:
+    """Nothing was stored; the caller may retry after retry_after_s."""
+
+    reason: str
+    retry_after_s: int = RETRY_AFTER_S
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Uncertain:
+    """The outcome is unknown; the same request may be repeated."""
+
+    reason: str
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class UnknownJob:
+    """There is no such job."""
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class JobStatus:
+    """The state of a job, and the reason if it failed."""
+
+    state: str
+    reason: str = ""
+
+
+Outcome = Accepted | Refused | Uncertain | UnknownJob
+
+
+class JobRequestHandler:
+    """Handle callers' requests to submit, cancel and query jobs."""
+
+    def __init__(self, store: interfaces.Store,
+                 store_unresponsive: typing.Callable[[], bool]) -> None:
+        self.store = store
+        # Returns whether the store has been unresponsive for some time.
+        self.store_unresponsive = store_unresponsive
+        # Set by a write without an answer, cleared by an answered call.
+        self.last_call_unanswered = False
+        self.lock = threading.Lock()
+        # Keys with an unanswered write, which may still take effect.
+        self.uncertain_keys: collections.OrderedDict[str, None] = (
+            collections.OrderedDict())
+        # Jobs known to exist, so that a status query needs a single read.
+        self.existing_jobs: collections.OrderedDict[str, None] = (
+            collections.OrderedDict())
+
+    def submit(self, job: messages.Job, deadline: float) -> Outcome:
+        """Store a job; repeating the call creates no second job.
+
+        deadline is on clock.now().
+        """
+        outcome = self._create_key(records.job_key(job.job_id),
+                                   progress.encode_job(job), deadline)
+        event_types = {Accepted: events.JOB_STORED,
+                       Refused: events.JOB_REFUSED}
+        events.emit(event_types.get(type(outcome), events.JOB_UNCERTAIN),
+                    job=job.job_id, queue=job.queue,
+                    reason=getattr(outcome, "reason", ""))
+        if isinstance(outcome, Accepted):
+            self._remember_job(job.job_id)
+        return outcome
+
+    def cancel(self, job_id: str, deadline: float) -> Outcome:
+        """Store the cancellation of a job; deadline is on clock.now()."""
+        try:
+            if not self._job_exists(job_id):
+                return UnknownJob()
+        except interfaces.CallFailed as exc:
+            return Refused(str(exc))
+        outcome = self._create_key(records.cancel_key(job_id), b"1", deadline)
+        if isinstance(outcome, Accepted):
+            events.emit(events.CANCEL_STORED, job=job_id)
+        return outcome
+
+    def _create_key(self, key: str, value: bytes, deadline: float) -> Outcome:
+        """Create a key; an existing key counts as created.
+
+        A write without an answer may still take effect, so after one a
+        refusal of a later attempt must not be returned as "not stored".
+        """
+        if self.last_call_unanswered or self.store_unresponsive():
+            outcome = self._read_before_write(key)
+            if outcome is not None:
+                return outcome
+        transaction = messages.Transaction(
+            (messages.Expect(key, 0),), (messages.Put(key, value),))
+        uncertain = False
+        reason = "no time left"
+        tries = 0
+        unanswered = 0
+        while clock.now() < deadline - ANSWER_MARGIN_S:
+            tries += 1
+            try:
+                self.store.commit(transaction)
+                self.last_call_unanswered = False
+                return Accepted()
+            except interfaces.Conflict:
+                return Accepted()
+            except interfaces.CallRefused as exc:
+                reason = str(exc)
+                if tries >= MAX_REFUSED_TRIES:
+                    break
+            except interfaces.CallFailed as exc:
+                uncertain = self.last_call_unanswered = True
+                _add_bounded(self.uncertain_keys, key)
+                unanswered += 1
+                reason = str(exc)
+                if unanswered >= MAX_UNANSWERED_TRIES:
+                    break
+            threading.Event().wait(RETRY_PAUSE_S)
+        return Uncertain(reason) if uncertain else Refused(reason)
+
+    def _read_before_write(self, key: str) -> Outcome | None:
+        """Read a key before writing it; return the outcome if it is decided.
+
+        A write without an answer may take effect later, so its caller cannot
+        be told that nothing was stored.  A read without an answer has no
+        effect, so a refusal after it is correct.  In an outage of 5 s, 169
+        requests had an unknown outcome without this read, and 16 with it.
+        """
+        try:
+            item = self._read(key)
+        except interfaces.CallFailed as exc:
+            if key in self.uncertain_keys:
+                return Uncertain(f"store: {exc}")
+            return Refused(f"store: {exc}")
+        self.last_call_unanswered = False
+        return None if item is None else Accepted()
+
+    def job_status(self, job_id: str) -> JobStatus | None:
+        """Return a job's status, or None if unknown; raises CallFailed."""
+        item = self._read(records.progress_key(job_id))
+        if item is not None:
+            return JobStatus(progress.decode_state(item.value),
+                             progress.decode_failure_reason(item.value))
+        return (JobStatus(messages.PENDING) if self._job_exists(job_id)
+                else None)
+
+    def waiting_count(self, queue: str) -> int:
+        """Return the number of waiting jobs in a queue; raises CallFailed."""
+        item = self._read(records.WAITING_JOBS_KEY)
+        if item is None:
+            return 0
+        return int(records.decode_mapping(item.value).get(queue, 0))
+
+    def _read(self, key: str) -> messages.Item | None:
+        """Read a key, or fail at once while the store is unresponsive.
+
+        Waiting for the timeout would delay the caller by a second, although
+        it can retry later or through another VM.
+        """
+        if self.store_unresponsive():
+            raise interfaces.CallRefused("store does not answer")
+        return self.store.get(key)
+
+    def _job_exists(self, job_id: str) -> bool:
+        with self.lock:
+            if job_id in self.existing_jobs:
+                return True
+        if self._read(records.job_key(job_id)) is None:
+            return False
+        self._remember_job(job_id)
+        return True
+
+    def _remember_job(self, job_id: str) -> None:
+        with self.lock:
+            _add_bounded(self.existing_jobs, job_id)
+
+
+def _add_bounded(names: collections.OrderedDict[str, None], name: str) -> None:
+    """Add a name; drop the oldest beyond MAX_REMEMBERED_NAMES."""
+    names[name] = None
+    while len(names) > MAX_REMEMBERED_NAMES:
+        names.popitem(last=False)
--- a/sycamorefield/fleet/owner.py
+++ b/sycamorefield/fleet/owner.py
@@ -1,4 +1,4 @@
-"""Run the fleet while this process owns it."""
+"""Schedule the fleet while this process owns it."""
 
 import dataclasses
 import functools
@@ -7,47 +7,55 @@
 
 from sycamorefield import events
 from sycamorefield.fleet import clock
-from sycamorefield.fleet import inbox as inbox_mod
 from sycamorefield.fleet import interfaces
+from sycamorefield.fleet import jobwatcher as jobwatcher_mod
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import policy as policy_mod
 from sycamorefield.fleet import recorder as recorder_mod
 from sycamorefield.fleet import records
 from sycamorefield.fleet import recovery as recovery_mod
-from sycamorefield.fleet import roster as roster_mod
 from sycamorefield.fleet import rounds
 from sycamorefield.fleet import state as state_mod
 from sycamorefield.fleet import usage as usage_mod
+from sycamorefield.fleet import workerlinks as workerlinks_mod
 
-# How often the use of the fleet is logged.
-USAGE_PERIOD_S = 2.0
-# The owner's lease in the store.  An owner that dies is noticed when it
-# ends; three renewals fit in, so one lost or slow renewal does not end it.
-OWN_LEASE_S = 2.0
-# A leaving worker gets no new work within 2 s of its notice.
-ROSTER_PERIOD_S = 0.8
-ROSTER_RETRY_S = 0.2
-TICK_S = 0.1
-# Rounds of placing are at least this far apart, so that tasks that become
-# ready together share one.
-ROUND_PAUSE_S = 0.005
-# A round that took long is followed by a pause of this many times as long.
-# On a weak VM, or with many who wait, rounds back to back leave no processor
-# time for reports and leases: runs lapse and their users notice, and the
-# owner's processor is seen to be all in use.
-PAUSE_FOR_ROUND = 1.0
-# A round that was held up itself, say by a slowed VM, must not delay the next
-# start as long again: urgent work is to start within 1.1 s.
-MOST_PAUSE_S = 0.25
+# How often the utilisation of the fleet is logged.
+USAGE_LOG_PERIOD_S = 2.0
+# TTL of the owner's lease in the store.  The death of an owner is detected
+# when the lease expires.  Three renewals fit into the TTL, so one lost or slow
+# renewal does not end the lease.
+OWNER_LEASE_S = 2.0
+# How often the list of workers is read.  A worker that is about to leave must
+# get no new tasks later than 2 s after its notice.
+WORKER_LIST_PERIOD_S = 0.8
+WORKER_LIST_RETRY_S = 0.2
+# The longest wait for a change before the next round.
+MAX_IDLE_S = 0.1
+# The least pause between placement rounds, so that tasks that become ready
+# together are placed in one round.
+MIN_ROUND_GAP_S = 0.005
+# The pause after a round, as a multiple of the round's duration.  On a weak
+# VM, or with many waiting tasks, rounds without pauses use all of the owner's
+# processor time and leave none for reports and lease renewals.  Leases of runs
+# then expire, which their users notice.
+GAP_PER_ROUND_TIME = 1.0
+# The longest pause after a round.  A round that took long, for example on a
+# slowed VM, must not delay the next start by as long again: urgent tasks must
+# start within 1.1 s.
+MAX_ROUND_GAP_S = 0.25
 RETRY_PAUSE_S = 0.1
 
 
 class Owner:
-    """Hold the tasks of an owner: inbox, roster, placing, recording."""
+    """Run one term as owner: watch jobs and workers, place, record.
+
+    fence is the fencing token of the term.  hold_max_ms limits the leases
+    that workers get.
+    """
 
     def __init__(self, store: interfaces.Store,
                  worker_list: interfaces.WorkerList,
-                 connect: roster_mod.WorkerFactory,
+                 connect: workerlinks_mod.WorkerFactory,
                  configuration: typing.Callable[[], messages.Configuration],
                  fence: int, hold_max_ms: float,
                  advice: interfaces.AdviceService | None = None,
@@ -55,107 +63,114 @@
         self.worker_list = worker_list
         self.fence = fence
         self.fleet = state_mod.FleetState(
-            fence, hold_max_ms, self._order, configuration, policy)
+            fence, hold_max_ms, self._send_order, configuration, policy)
         self.fleet.advice.service = advice
-        self.over = threading.Event()
+        self.stepped_down = threading.Event()
         self.recovered = False
-        self.began = clock.now()
-        self.lease_renewed(self.began)
-        # As of the last line on it; counting anew for each caller of the
-        # metrics would take the lock from placing.
+        self.started_at = clock.now()
+        self.note_lease_renewal(self.started_at)
+        # The utilisation as last logged.  Metrics use this copy because
+        # computing it for each request would block placement on the lock.
         self.usage: usage_mod.Usage | None = None
         self.round_times = usage_mod.RoundTimes()
         self.recorder = recorder_mod.Recorder(
             store, self.fleet, records.OWNER_KEY, self.may_act,
-            self.step_down, self._seen)
-        self.roster = roster_mod.Roster(
+            self.step_down, self._acknowledge_ends)
+        self.worker_links = workerlinks_mod.WorkerLinks(
             self.fleet, connect, lambda: self.recorder.stored_addresses,
             self.may_act, self.may_lease, self.step_down)
-        self.inbox = inbox_mod.Inbox(store, self.fleet, self.over)
+        self.job_watcher = jobwatcher_mod.JobWatcher(
+            store, self.fleet, self.stepped_down)
         self.recovery = recovery_mod.Recovery(
-            store, worker_list, self.fleet, self.inbox, self.roster,
-            self.recorder)
+            store, worker_list, self.fleet, self.job_watcher,
+            self.worker_links, self.recorder)
 
-    def _order(self, worker_id: str, order: state_mod.Order) -> None:
-        self.roster.order(worker_id, order)
+    def _send_order(self, worker_id: str, order: state_mod.Order) -> None:
+        self.worker_links.send_order(worker_id, order)
 
-    def _seen(self, marks: dict[str, int]) -> None:
-        self.roster.seen(marks)
+    def _acknowledge_ends(self, stored_ends: dict[str, int]) -> None:
+        self.worker_links.acknowledge_ends(stored_ends)
 
     def may_act(self) -> bool:
-        """Tell whether orders may still be given."""
-        if self.over.is_set():
+        """Return whether orders may still be sent.
+
+        Step down if the store has been unreachable for too long.
+        """
+        if self.stepped_down.is_set():
             return False
-        if clock.now() - self.renewed > recovery_mod.WITHOUT_STORE_S:
-            self.step_down("no answer of the store")
+        if (clock.now() - self.lease_renewed_at
+                > recovery_mod.MAX_STORE_OUTAGE_S):
+            self.step_down("store unreachable for too long")
             return False
         return True
 
     def may_lease(self) -> bool:
-        """Tell whether what runs may be given more time.
+        """Return whether leases of runs may be granted or extended.
 
-        Beyond its own lease an owner cannot know whether it has a successor.
-        The successor fences every worker that it reaches; as long as most
-        workers obey this owner, there is none that reached most.  One that
-        has stepped down may have given its lease back already.
+        Once its own lease has expired, an owner cannot know whether it has a
+        successor.  A successor fences every worker that it reaches, so as
+        long as most workers accept this owner's calls, no successor has
+        reached most of them.  An owner that has stepped down grants nothing:
+        its lease may already be released.
         """
-        if self.over.is_set():
+        if self.stepped_down.is_set():
             return False
         now = clock.now()
-        self.fleet.store_unreachable = now - self.renewed > OWN_LEASE_S
+        self.fleet.store_unreachable = (
+            now - self.lease_renewed_at > OWNER_LEASE_S)
         return (not self.fleet.store_unreachable
                 or self.fleet.has_quorum(now))
 
-    def lease_renewed(self, sent: float) -> None:
-        """Note that a call sent at a moment has renewed the owner's lease.
+    def note_lease_renewal(self, sent_at: float) -> None:
+        """Note that a call sent at sent_at renewed the owner's lease.
 
-        The store counts the lease from when the call came, so it holds at
-        least from the moment at which it was sent.
+        The store counts the TTL from the arrival of the call, so the lease
+        holds at least until sent_at plus the TTL.
         """
-        self.renewed = sent
-        lapsed = self.fleet.owner_lease_until < clock.now()
-        self.fleet.owner_lease_until = sent + OWN_LEASE_S
-        if lapsed:
-            # Jobs seen meanwhile were held back.
+        self.lease_renewed_at = sent_at
+        was_expired = self.fleet.owner_lease_until < clock.now()
+        self.fleet.owner_lease_until = sent_at + OWNER_LEASE_S
+        if was_expired:
+            # Jobs first seen while the lease was expired were held back.
             with self.fleet.lock:
                 self.fleet.request_round()
 
     def step_down(self, reason: str) -> None:
-        """Give no orders from now on."""
-        if self.over.is_set():
+        """End the term: send no more orders; reason is logged."""
+        if self.stepped_down.is_set():
             return
-        self.over.set()
+        self.stepped_down.set()
         events.emit(events.OWNERSHIP_LOST, fence=self.fence, reason=reason)
         self.recorder.stopped.set()
-        self.roster.close()
+        self.worker_links.close()
         with self.fleet.lock:
             self.fleet.round_requested.notify_all()
 
     def run(self) -> None:
-        """Recover, then decide until stepping down."""
-        self._guarded(self._run)
+        """Recover the stored state, then schedule until stepping down."""
+        self._run_guarded(self._run)
 
     def _run(self) -> None:
         revision = self._recover()
         if revision is None:
             return
         self.recovered = True
-        for target in (functools.partial(self.inbox.follow, revision),
-                       self._follow_roster, self.recorder.run,
-                       self._ask_advice):
-            threading.Thread(target=self._guarded, args=(target,),
+        for target in (functools.partial(self.job_watcher.follow, revision),
+                       self._follow_worker_list, self.recorder.run,
+                       self._follow_advice):
+            threading.Thread(target=self._run_guarded, args=(target,),
                              daemon=True).start()
-        self._guarded(self._rounds)
+        self._run_guarded(self._run_rounds)
         self.fleet.run_log.flush()
 
     def gauges(self) -> dict[str, float]:
-        """Return figures on the fleet and on the owner's own work."""
+        """Return metrics of the fleet and of the owner's own work."""
         now = clock.now()
         gauges = {
             "fence": float(self.fence),
-            "owner_age_s": now - self.began,
+            "owner_age_s": now - self.started_at,
             "owner_recovered": float(self.recovered),
-            "lease_age_s": now - self.renewed,
+            "lease_age_s": now - self.lease_renewed_at,
             "rounds_total": float(self.round_times.rounds),
             "rounds_busy_s_total": self.round_times.busy_s,
             "rounds_waited_s_total": self.round_times.waited_s,
@@ -163,14 +178,17 @@
             "runs_ordered_total": float(self.fleet.run_log.ordered_total),
             "runs_ended_total": float(self.fleet.run_log.ended_total)}
         if self.usage is not None:
-            figures = dataclasses.asdict(self.usage)
-            for priority, count in figures.pop("waiting").items():
+            usage_gauges = dataclasses.asdict(self.usage)
+            for priority, count in usage_gauges.pop("waiting").items():
                 gauges[f'tasks_waiting{{priority="{priority}"}}'] = count
-            gauges.update(figures)
+            gauges.update(usage_gauges)
         return gauges
 
-    def _guarded(self, target: typing.Callable[[], None]) -> None:
-        """Step down on an unexpected error: a successor starts afresh."""
+    def _run_guarded(self, target: typing.Callable[[], None]) -> None:
+        """Run a target; step down on an unexpected error.
+
+        A successor then starts from the stored state.
+        """
         try:
             target()
         except Exception as exc:
@@ -178,65 +196,70 @@
                         where=events.place(exc))
             self.step_down("unexpected error")
 
-    def _ask_advice(self) -> None:
-        self.fleet.advice.run(self.over)
+    def _follow_advice(self) -> None:
+        self.fleet.advice.run(self.stepped_down)
 
     def _recover(self) -> int | None:
-        """Read jobs, progress and workers; return the jobs' revision."""
+        """Load the stored state; return the revision of the jobs.
+
+        Return None if the term ends first.
+        """
         while self.may_act():
             try:
                 return self.recovery.load()
             except interfaces.CallFailed as exc:
                 events.emit(events.STORE_LOST, reason=str(exc))
-                self.over.wait(RETRY_PAUSE_S)
+                self.stepped_down.wait(RETRY_PAUSE_S)
         return None
 
-    def _follow_roster(self) -> None:
-        logged = 0.0
+    def _follow_worker_list(self) -> None:
+        logged_at = 0.0
         times = usage_mod.RoundTimes()
-        pause_s = ROSTER_PERIOD_S
-        while not self.over.wait(pause_s):
-            pause_s = ROSTER_PERIOD_S
-            began = clock.now()
+        pause_s = WORKER_LIST_PERIOD_S
+        while not self.stepped_down.wait(pause_s):
+            pause_s = WORKER_LIST_PERIOD_S
+            read_at = clock.now()
             try:
-                self.roster.take_entries(self.worker_list.workers(), began)
+                self.worker_links.update_workers(
+                    self.worker_list.workers(), read_at)
             except interfaces.CallFailed as exc:
-                events.emit(events.STORE_LOST, reason=f"workers: {exc}")
-                # With an old list nothing may be started.
-                pause_s = ROSTER_RETRY_S
-            self.roster.close_gone()
-            if clock.now() - logged >= USAGE_PERIOD_S:
-                logged = clock.now()
+                events.emit(events.STORE_LOST, reason=f"worker list: {exc}")
+                # Nothing may be started with an outdated list, so it is
+                # read again soon.
+                pause_s = WORKER_LIST_RETRY_S
+            self.worker_links.close_removed()
+            if clock.now() - logged_at >= USAGE_LOG_PERIOD_S:
+                logged_at = clock.now()
                 times = self._log_usage(times)
 
-    def _log_usage(self, earlier: usage_mod.RoundTimes
+    def _log_usage(self, previous_times: usage_mod.RoundTimes
                    ) -> usage_mod.RoundTimes:
-        """Log how full the fleet is; return the rounds counted so far."""
+        """Log the utilisation; return the rounds counted so far."""
         self.usage = usage_mod.measure(self.fleet, clock.now())
         times = dataclasses.replace(self.round_times)
         events.emit(events.FLEET_USAGE, **dataclasses.asdict(self.usage),
-                    **times.since(earlier), fence=self.fence,
-                    lease_age_s=round(clock.now() - self.renewed, 3))
+                    **times.since(previous_times), fence=self.fence,
+                    lease_age_s=round(clock.now() - self.lease_renewed_at, 3))
         return times
 
-    def _rounds(self) -> None:
-        ended = clock.now()
+    def _run_rounds(self) -> None:
+        ended_at = clock.now()
         while self.may_act():
             with self.fleet.lock:
                 if not self.fleet.round_needed:
-                    self.fleet.round_requested.wait(TICK_S)
-            now = clock.now()
-            waited_s = now - ended
-            self.fleet.expire(now)
-            self.fleet.run_log.flush_when_due(now)
+                    self.fleet.round_requested.wait(MAX_IDLE_S)
+            started_at = clock.now()
+            waited_s = started_at - ended_at
+            self.fleet.expire(started_at)
+            self.fleet.run_log.flush_when_due(started_at)
             if not self.may_lease():
-                # A start without a lease would be taken back unsent and be
-                # placed again at once, hundreds of times a second.
-                self.over.wait(TICK_S)
+                # A start that gets no lease would be cancelled before it is
+                # sent and placed again at once, hundreds of times a second.
+                self.stepped_down.wait(MAX_IDLE_S)
                 continue
-            rounds.place(self.fleet, now, clock.wall_ms())
-            ended = clock.now()
-            took = ended - now
-            self.round_times.add(waited_s, took)
-            self.over.wait(min(MOST_PAUSE_S, max(
-                ROUND_PAUSE_S, PAUSE_FOR_ROUND * took)))
+            rounds.place(self.fleet, started_at, clock.wall_ms())
+            ended_at = clock.now()
+            round_s = ended_at - started_at
+            self.round_times.add(waited_s, round_s)
+            self.stepped_down.wait(min(MAX_ROUND_GAP_S, max(
+                MIN_ROUND_GAP_S, GAP_PER_ROUND_TIME * round_s)))
--- a/sycamorefield/fleet/recovery.py
+++ b/sycamorefield/fleet/recovery.py
@@ -1,86 +1,87 @@
-"""Read what is stored of the fleet when its ownership is new."""
+"""Load the stored state of the fleet at the start of a term."""
 
 from sycamorefield import events
 from sycamorefield.fleet import clock
-from sycamorefield.fleet import inbox as inbox_mod
 from sycamorefield.fleet import interfaces
+from sycamorefield.fleet import jobwatcher as jobwatcher_mod
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import progress
 from sycamorefield.fleet import recorder as recorder_mod
 from sycamorefield.fleet import records
-from sycamorefield.fleet import roster as roster_mod
 from sycamorefield.fleet import state as state_mod
+from sycamorefield.fleet import workerlinks as workerlinks_mod
 from sycamorefield.fleet import workerstate
 
-# Without any answer of the store the owner goes on this long: an outage of
-# the store must not throw away what runs.  Its orders carry its fence, so a
-# worker that a successor has reached refuses them.
-WITHOUT_STORE_S = 8.0
-# A line on jobs taken over stays under 4 KB.
-JOBS_PER_LINE = 100
+# How long an owner continues when the store does not answer: an outage of the
+# store must not end running tasks.  Its orders carry its fence, so a worker
+# that a successor has reached refuses them.
+MAX_STORE_OUTAGE_S = 8.0
+# Keeps a log line on resumed jobs under 4 KB.
+JOBS_PER_LOG_LINE = 100
 
 
 class Recovery:
-    """Take over jobs, progress and workers from the store."""
+    """Load jobs, progress and workers from the store."""
 
     def __init__(self, store: interfaces.Store,
                  worker_list: interfaces.WorkerList,
-                 fleet: state_mod.FleetState, inbox: inbox_mod.Inbox,
-                 roster: roster_mod.Roster,
+                 fleet: state_mod.FleetState,
+                 job_watcher: jobwatcher_mod.JobWatcher,
+                 worker_links: workerlinks_mod.WorkerLinks,
                  recorder: recorder_mod.Recorder) -> None:
         self.store = store
         self.worker_list = worker_list
         self.fleet = fleet
-        self.inbox = inbox
-        self.roster = roster
+        self.job_watcher = job_watcher
+        self.worker_links = worker_links
         self.recorder = recorder
 
     def load(self) -> int:
-        """Read all; return the jobs' revision to follow on from.
+        """Load everything; return the revision from which to watch jobs.
 
-        Raises CallFailed; it may then be tried again.
+        Raises CallFailed, after which the call may be repeated.
         """
-        fleet_item = self.store.get(records.WORKERS_KEY)
+        workers_item = self.store.get(records.WORKERS_KEY)
         waiting_item = self.store.get(records.WAITING_JOBS_KEY)
-        learnt_item = self.store.get(records.WEIGHTS_KEY)
+        weights_item = self.store.get(records.WEIGHTS_KEY)
         jobs = self.store.listing(records.JOB_PREFIX)
-        stored = self.store.listing(records.PROGRESS_PREFIX)
+        progress_items = self.store.listing(records.PROGRESS_PREFIX)
         listed_at = clock.now()
         entries = self.worker_list.workers()
         with self.fleet.lock:
             for item in jobs.items:
-                self.inbox.add_job(item)
-            for item in stored.items:
-                self._take_progress(item)
+                self.job_watcher.add_job(item)
+            for item in progress_items.items:
+                self._load_progress(item)
             for item in jobs.items:
-                self.inbox.take_cancel(item.key)
+                self.job_watcher.apply_cancellation(item.key)
             if waiting_item is not None:
                 self.recorder.revisions[records.WAITING_JOBS_KEY] = (
                     waiting_item.revision)
-            if learnt_item is not None:
-                self._take_learnt(learnt_item)
-            self._expect_workers(fleet_item)
-        self._log_taken_over()
-        self.roster.take_entries(entries, listed_at)
-        self.roster.contact_unlisted()
+            if weights_item is not None:
+                self._load_weights(weights_item)
+            self._expect_workers(workers_item)
+        self._log_resumed_jobs()
+        self.worker_links.update_workers(entries, listed_at)
+        self.worker_links.connect_unlisted()
         events.emit(events.FLEET_RECOVERED, fence=self.fleet.fence,
                     jobs=len(self.fleet.active), workers=len(entries),
                     unheard=len(self.fleet.awaited_workers))
         return jobs.revision
 
-    def _log_taken_over(self) -> None:
-        """Log the jobs that go on, many to a line.
+    def _log_resumed_jobs(self) -> None:
+        """Log the resumed jobs, many to a line.
 
-        One line for each stored job, ended ones included, would push what
-        was logged of the claim out of the part of the log that is kept.
+        One line for each stored job, including ended ones, would push the
+        lines on the claim out of the part of the log that is kept.
         """
         with self.fleet.lock:
             job_ids = list(self.fleet.active)
-        for begin in range(0, len(job_ids), JOBS_PER_LINE):
+        for begin in range(0, len(job_ids), JOBS_PER_LOG_LINE):
             events.emit(events.JOB_SEEN, fence=self.fleet.fence,
-                        jobs=job_ids[begin:begin + JOBS_PER_LINE])
+                        jobs=job_ids[begin:begin + JOBS_PER_LOG_LINE])
 
-    def _take_progress(self, item: messages.Item) -> None:
+    def _load_progress(self, item: messages.Item) -> None:
         job_id = item.key[len(records.PROGRESS_PREFIX):]
         state = self.fleet.jobs.get(job_id)
         if state is None:
@@ -96,7 +97,7 @@
         else:
             self.fleet.trials.restore(state, clock.now())
 
-    def _take_learnt(self, item: messages.Item) -> None:
+    def _load_weights(self, item: messages.Item) -> None:
         self.recorder.revisions[records.WEIGHTS_KEY] = item.revision
         try:
             self.fleet.interference_model.decode(item.value)
@@ -105,15 +106,15 @@
                         reason=str(exc))
 
     def _expect_workers(self, item: messages.Item | None) -> None:
-        """Wait for each worker that earlier owners may have used.
+        """Wait for a report of each worker that earlier owners may have used.
 
-        An earlier owner may act without the store for WITHOUT_STORE_S, and
-        what it started last runs at most the longest lease after that, on a
-        clock that may be slow.
+        An earlier owner may act without the store for MAX_STORE_OUTAGE_S.
+        The last run that it started ends at most the longest lease later, on
+        a clock that may be slow.
         """
         if item is None:
             return
         self.recorder.revisions[records.WORKERS_KEY] = item.revision
         self.recorder.stored_addresses = records.decode_mapping(item.value)
-        until = clock.now() + WITHOUT_STORE_S + workerstate.LEASE_EXPIRY_S
+        until = clock.now() + MAX_STORE_OUTAGE_S + workerstate.LEASE_EXPIRY_S
         self.fleet.await_workers(self.recorder.stored_addresses, until)
--- a/sycamorefield/fleet/roster.py
+++ b/sycamorefield/fleet/workerlinks.py
@@ -1,4 +1,4 @@
-"""Follow the list of workers, with a link to each."""
+"""Maintain a link to each worker of the fleet."""
 
 import typing
 
@@ -12,99 +12,110 @@
 MayAct = typing.Callable[[], bool]
 
 
-class Roster:
-    """Hold the links to all workers that are listed, or may run something.
+class WorkerLinks:
+    """Hold links to all workers that are listed or may have running tasks.
 
-    addresses tells where workers in use are by the stored list of an earlier
-    owner, or None if there is none.
+    stored_addresses returns the addresses of the workers in use by worker ID,
+    as an earlier owner stored them, or None if nothing is stored.
     """
 
     def __init__(self, fleet: state_mod.FleetState, connect: WorkerFactory,
-                 addresses: typing.Callable[[], dict[str, str] | None],
+                 stored_addresses: typing.Callable[[], dict[str, str] | None],
                  may_act: MayAct, may_lease: MayAct,
                  step_down: typing.Callable[[str], None]) -> None:
         self.fleet = fleet
         self.connect = connect
-        self.addresses = addresses
+        self.stored_addresses = stored_addresses
         self.may_act = may_act
         self.may_lease = may_lease
         self.step_down = step_down
         self.links: dict[str, link_mod.WorkerLink] = {}
         self.closed = False
 
-    def order(self, worker_id: str, order: state_mod.Order) -> None:
-        """Hand an order to the link of its worker."""
+    def send_order(self, worker_id: str, order: state_mod.Order) -> None:
+        """Queue an order on the link of its worker."""
         link = self.links.get(worker_id)
         if link is not None:
             link.orders.put(order)
 
-    def seen(self, marks: dict[str, int]) -> None:
-        """Let workers forget ends up to the numbers that are stored."""
-        for worker_id, number in marks.items():
+    def acknowledge_ends(self, stored_ends: dict[str, int]) -> None:
+        """Acknowledge the ends of runs up to the stored numbers.
+
+        Workers then stop reporting them.
+        """
+        for worker_id, number in stored_ends.items():
             link = self.links.get(worker_id)
             if link is not None:
                 link.acknowledge_ends(number)
 
     def close(self) -> None:
-        """End all links after the calls under way, and any begun later."""
+        """Close all links after their calls in flight.
+
+        Links that are started later are closed at once.
+        """
         self.closed = True
         for link in list(self.links.values()):
             link.close()
 
-    def take_entries(self, entries: tuple[messages.WorkerEntry, ...],
-                     read_at: float | None = None) -> None:
-        """Take up all workers listed, then begin to speak to the new ones.
+    def update_workers(self, entries: tuple[messages.WorkerEntry, ...],
+                       read_at: float | None = None) -> None:
+        """Apply the list of workers, then start links to the new ones.
 
-        The lock is taken once: taken for each, others get it in between, and
-        workers that come back together are used again one by one.
+        read_at is when the list was read, on clock.now(); by default now.
+        The lock is taken once for all workers.  If it were taken for each,
+        other threads would get it in between, and workers that return
+        together would become usable one by one.
         """
         with self.fleet.lock:
-            links = [self._take_entry(entry) for entry in entries]
+            links = [self._add_worker(entry) for entry in entries]
             self.fleet.update_listed(
                 {entry.worker_id for entry in entries},
                 clock.now() if read_at is None else read_at)
         for link in links:
-            self._begin(link)
+            self._start_link(link)
 
-    def _take_entry(self, entry: messages.WorkerEntry
+    def _add_worker(self, entry: messages.WorkerEntry
                     ) -> link_mod.WorkerLink | None:
-        """Take up a worker; return its link if it is a new one."""
-        old = self.links.get(entry.worker_id)
+        """Add or update a worker; return its link if the worker is new."""
+        old_link = self.links.get(entry.worker_id)
         if not self.fleet.add_worker(entry):
             return None
-        if old is not None:
-            old.close()
+        if old_link is not None:
+            old_link.close()
         link = link_mod.WorkerLink(
             entry, self.connect(entry), self.fleet, self.may_act,
             self.may_lease, self.step_down)
-        if old is not None:
-            link.recorded_upto = old.recorded_upto
+        if old_link is not None:
+            link.recorded_upto = old_link.recorded_upto
         self.links[entry.worker_id] = link
         return link
 
-    def contact_unlisted(self) -> None:
-        """Ask workers in use that the list has lost, at their address."""
-        addresses = self.addresses()
+    def connect_unlisted(self) -> None:
+        """Contact workers in use that are no longer listed.
+
+        Their addresses come from the stored list of workers in use.
+        """
+        addresses = self.stored_addresses()
         for worker_id in list(self.fleet.awaited_workers):
             if worker_id in self.links or not addresses:
                 continue
             entry = messages.WorkerEntry(
                 worker_id, "", addresses[worker_id], "", False,
                 messages.Resources(), ())
-            link = self._take_entry(entry)
+            link = self._add_worker(entry)
             with self.fleet.lock:
                 self.fleet.workers[worker_id].listed = False
-            self._begin(link)
+            self._start_link(link)
 
-    def _begin(self, link: link_mod.WorkerLink | None) -> None:
+    def _start_link(self, link: link_mod.WorkerLink | None) -> None:
         if link is None:
             return
         link.start()
         if self.closed:
             link.close()
 
-    def close_gone(self) -> None:
-        """End the links to workers that are given up."""
+    def close_removed(self) -> None:
+        """Close the links to workers that were removed from the fleet."""
         for worker_id, link in list(self.links.items()):
             if worker_id not in self.fleet.workers:
                 link.close()
--- a/tests/test_fleet_regressions.py
+++ b/tests/test_fleet_regressions.py
@@ -275,7 +275,7 @@
 
     monkeypatch.setattr(rounds, "place", place)
     owner.may_lease = lambda: True
-    thread = threading.Thread(target=owner._rounds)
+    thread = threading.Thread(target=owner._run_rounds)
     thread.start()
     time.sleep(2 * round_s + 0.5)
     owner.step_down("test over")
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -345,8 +345,8 @@
     earlier, later = Bench(*entries), Bench()
     start = earlier.now
     later.state.await_workers([e.worker_id for e in entries],
-                              start + owner_mod.OWN_LEASE_S
-                              + recovery.WITHOUT_STORE_S
+                              start + owner_mod.OWNER_LEASE_S
+                              + recovery.MAX_STORE_OUTAGE_S
                               + workerstate.LEASE_EXPIRY_S)
     granted_until_ms = 0.0
     while later.state.awaited_workers:
@@ -356,14 +356,14 @@
         for n, entry in enumerate(entries):
             if n >= reached:
                 earlier.state.mark_unresponsive(entry.worker_id, "cut")
-            elif silence_s <= recovery.WITHOUT_STORE_S:
-                if (silence_s <= owner_mod.OWN_LEASE_S
+            elif silence_s <= recovery.MAX_STORE_OUTAGE_S:
+                if (silence_s <= owner_mod.OWNER_LEASE_S
                         or earlier.state.has_quorum(earlier.now)):
                     granted_until_ms = earlier.state.workers[
                         entry.worker_id].grant_lease(
                             workerstate.LEASE_MS, earlier.now)
                 earlier.report(entry.worker_id)
-            if n >= reached and silence_s > owner_mod.OWN_LEASE_S:
+            if n >= reached and silence_s > owner_mod.OWNER_LEASE_S:
                 later.state.add_worker(entry)
                 later.report(entry.worker_id)
         earlier.state.expire(earlier.now)
--- a/tests/test_fleet_takeover.py
+++ b/tests/test_fleet_takeover.py
@@ -1,4 +1,4 @@
-"""Show that an owner's successor takes over without doing work twice."""
+"""Test that the successor of an owner takes over without repeating work."""
 
 import threading
 import time
@@ -7,10 +7,10 @@
 import pytest
 
 from sycamorefield.fleet import clock
+from sycamorefield.fleet import controlwatcher
 from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import link as link_mod
 from sycamorefield.fleet import messages
-from sycamorefield.fleet import operatorview
 from sycamorefield.fleet import owner as owner_mod
 from sycamorefield.fleet import ownership as ownership_mod
 from sycamorefield.fleet import progress
@@ -26,44 +26,44 @@
 
 
 class Fleet:
-    """Workers, a store and one owner after the other."""
+    """Hold in-memory workers, a store and one owner at a time."""
 
     def __init__(self, workers: int = 2) -> None:
         self.store = fleetfakes.MemoryStore()
         entries = [fleetfakes.entry(n) for n in range(workers)]
-        self.roster = fleetfakes.MemoryWorkerList(entries)
+        self.worker_list = fleetfakes.MemoryWorkerList(entries)
         self.workers = {e.worker_id: fleetfakes.MemoryWorker(e.worker_id)
                         for e in entries}
         self.owner: owner_mod.Owner | None = None
 
     def take_over(self) -> owner_mod.Owner:
-        """Let a new owner claim the fleet and run."""
+        """Start a new owner, replacing the owner's key."""
         if records.OWNER_KEY in self.store.items:
             self.store.commit(messages.Transaction(
                 removes=(records.OWNER_KEY,)))
         fence = self.store.commit(messages.Transaction(
             puts=(messages.Put(records.OWNER_KEY, b"me"),)))
         self.owner = owner_mod.Owner(
-            self.store, self.roster,
+            self.store, self.worker_list,
             lambda entry: self.workers[entry.worker_id],
             fleetfakes.configuration, fence, HOLD_MAX_MS)
         threading.Thread(target=self.owner.run, daemon=True).start()
         return self.owner
 
     def submit(self, job: messages.Job) -> None:
-        """Store a job as an entry process does."""
+        """Store a job in the way an entry process does."""
         self.store.commit(messages.Transaction(
             (messages.Expect(records.job_key(job.job_id), 0),),
             (messages.Put(records.job_key(job.job_id),
                           progress.encode_job(job)),)))
 
     def running(self) -> list[str]:
-        """Return the names of all tasks that run."""
+        """Return the names of all running tasks."""
         return sorted(str(task) for w in self.workers.values()
                       for task, _ in w.runs)
 
     def starts(self) -> list[str]:
-        """Return the names of all tasks ever started, with repeats."""
+        """Return the names of all tasks started so far, with repeats."""
         return sorted(str(task) for w in self.workers.values()
                       for task, _ in w.starts)
 
@@ -73,11 +73,11 @@
         return progress.decode_state(item.value) if item else ""
 
 
-def wait_for(what: typing.Callable[[], bool]) -> None:
-    """Wait until something holds."""
+def wait_for(condition: typing.Callable[[], bool]) -> None:
+    """Wait until a condition holds; fail after WAIT_S."""
     end = time.monotonic() + WAIT_S
-    while not what():
-        assert time.monotonic() < end, "did not come to hold"
+    while not condition():
+        assert time.monotonic() < end, "condition did not hold in time"
         time.sleep(0.01)
 
 
@@ -90,14 +90,14 @@
 
 
 def finish(fleet: Fleet, name: str) -> None:
-    """Let a task's run end as done."""
+    """End the runs of a task as done."""
     for worker in fleet.workers.values():
         for task, _ in list(worker.runs):
             if str(task) == name:
                 worker.finish(task)
 
 
-def test_job_runs_step_after_step_and_completes(fleet):
+def test_job_runs_its_steps_in_order_and_completes(fleet):
     fleet.take_over()
     fleet.submit(fleetfakes.job(
         "j", STEP,
@@ -112,10 +112,9 @@
 def test_successor_uses_workers_that_its_predecessor_enrolled(fleet):
     """Start tasks after a takeover without any change of the worker list.
 
-    Symptom: after a planned stop of the owner no task started any more,
-    though all workers answered.  Events: the successor found every worker
-    on the stored list of workers in use, so it had nothing to write.
-    Cause: workers were marked usable only after a write of that list.
+    A successor found every worker on the stored list of workers in use, so it
+    did not write that list.  Workers became usable only after a write, so no
+    task was started although all workers answered.
     """
     fleet.take_over()
     fleet.submit(fleetfakes.job("a"))
@@ -126,12 +125,12 @@
     wait_for(lambda: fleet.running() == ["a.0.0.0", "b.0.0.0"])
 
 
-def test_successor_adopts_what_runs_and_keeps_ends(fleet):
-    """Neither restart a run nor lose an end over a takeover.
+def test_takeover_neither_restarts_runs_nor_loses_ends(fleet):
+    """Neither restart a running task nor lose the end of one.
 
-    Symptom would be a task started twice.  Events: one task runs on, one
-    ends while nobody owns the fleet.  Cause would be planning before the
-    workers have told what runs and what ended.
+    One task keeps running and one ends while the fleet has no owner.  If the
+    successor placed tasks before the workers reported, it would start a task
+    twice.
     """
     fleet.take_over()
     fleet.submit(fleetfakes.job("a", messages.Step(
@@ -145,48 +144,48 @@
     assert fleet.starts() == ["a.0.0.0", "a.0.0.1"]
 
 
-def test_successor_waits_for_a_worker_that_may_run_the_task(fleet):
-    """Leave old tasks alone while a worker in use has not reported.
+def test_successor_does_not_restart_tasks_of_an_unresponsive_worker(fleet):
+    """Restart no old task while a worker in use has not reported.
 
-    Symptom would be a task running on two workers.  Events: the owner dies,
-    and the successor does not reach the worker that runs the task.  Cause
-    would be to take silence for absence before the leases have ended.
+    The owner dies, and its successor cannot reach the worker that runs the
+    task.  If an unresponsive worker counted as gone before its leases have
+    expired, the task would run on two workers.
     """
     fleet.take_over()
     fleet.submit(fleetfakes.job("a"))
     wait_for(lambda: fleet.running() == ["a.0.0.0"])
-    holder = next(w for w in fleet.workers.values() if w.runs)
+    running_worker = next(w for w in fleet.workers.values() if w.runs)
     fleet.owner.step_down("killed")
-    holder.unresponsive = True
+    running_worker.unresponsive = True
     fleet.take_over()
     fleet.submit(fleetfakes.job("b"))
     wait_for(lambda: "b.0.0.0" in fleet.running())
     assert fleet.starts().count("a.0.0.0") == 1
-    holder.unresponsive = False
+    running_worker.unresponsive = False
     wait_for(lambda: not fleet.owner.fleet.awaited_workers)
     assert fleet.starts().count("a.0.0.0") == 1
 
 
-def test_worker_reborn_at_its_address_frees_its_tasks_at_once(fleet):
-    """Restart tasks of a worker as soon as its death is certain.
+def test_tasks_of_a_restarted_worker_are_rerun_at_once(fleet):
+    """Restart the tasks of a worker as soon as its end is certain.
 
-    Symptom would be tasks that wait for a lease to end although the worker
-    has come back with another ID.  Cause would be to look at silence only.
+    The worker returns at the same address with another ID.  If only missing
+    answers counted, its tasks would wait until its lease expires.
     """
     fleet.take_over()
     fleet.submit(fleetfakes.job("a"))
     wait_for(lambda: fleet.running() == ["a.0.0.0"])
-    holder = next(w for w in fleet.workers.values() if w.runs)
-    holder.restarted = True
+    running_worker = next(w for w in fleet.workers.values() if w.runs)
+    running_worker.restarted = True
     wait_for(lambda: fleet.starts().count("a.0.0.0") == 2)
 
 
 def test_fenced_owner_steps_down(fleet):
-    """Give up at the first order that a worker refuses by its fence."""
-    old = fleet.take_over()
+    """Step down when a worker refuses an order because of a higher fence."""
+    first_owner = fleet.take_over()
     for worker in fleet.workers.values():
-        worker.fence = old.fence + 100
-    wait_for(old.over.is_set)
+        worker.fence = first_owner.fence + 100
+    wait_for(first_owner.stepped_down.is_set)
 
 
 def test_cancelled_job_is_stopped_and_stays_cancelled(fleet):
@@ -206,12 +205,11 @@
 @pytest.mark.parametrize("fault", ["lose_answers", "lose_calls",
                                    "keep_late"])
 def test_ends_are_recorded_although_commits_get_no_answer(fleet, fault):
-    """Record an end exactly once when the store's answers are lost.
+    """Record an end exactly once when commits get no answer.
 
-    Symptom would be a job that never completes, or a worker told to forget
-    an end that is not stored.  Events: a commit takes effect unseen, is
-    lost, or takes effect after it was repeated.  Cause would be to take "no
-    answer" for either outcome.
+    A commit without an answer may have taken effect, be lost, or take effect
+    after it was repeated.  If it counted as either stored or lost, a job
+    would never complete, or an end would be acknowledged that is not stored.
     """
     fleet.take_over()
     fleet.submit(fleetfakes.job("a"))
@@ -225,12 +223,11 @@
 
 
 def test_successor_corrects_the_number_of_waiting_jobs(fleet):
-    """Write the numbers of waiting jobs anew, also when none wait.
+    """Overwrite the stored counts of waiting jobs even if no job waits.
 
-    Symptom would be a queue that is said to have waiting jobs until the next
-    one waits.  Events: the owner stored a number and died; nothing waits for
-    its successor.  Cause would be to compare with an empty memory instead of
-    with what is stored.
+    An owner stores a count and dies, and its successor has no waiting jobs.
+    If the successor compared its counts with none instead of with the stored
+    ones, the queue would show waiting jobs until the next job waits.
     """
     fleet.store.commit(messages.Transaction(puts=(messages.Put(
         records.WAITING_JOBS_KEY, records.encode_counts({"checks": 3})),)))
@@ -239,8 +236,8 @@
         fleet.store.items[records.WAITING_JOBS_KEY].value) == {})
 
 
-def test_workers_keep_ends_while_the_store_is_away(fleet):
-    """Let no worker forget an end before it is stored."""
+def test_workers_keep_ends_while_the_store_is_unreachable(fleet):
+    """Acknowledge no end of a run before it is stored."""
     fleet.take_over()
     fleet.submit(fleetfakes.job("a"))
     wait_for(lambda: fleet.running() == ["a.0.0.0"])
@@ -252,89 +249,88 @@
     wait_for(lambda: fleet.state("a") == messages.COMPLETED)
 
 
-def test_inbox_survives_lost_history(fleet):
-    """See a job whose change fell out of the store's history.
+def test_job_is_found_after_the_store_compacted_its_history(fleet):
+    """Find a job whose change is no longer in the store's history.
 
-    Symptom would be an accepted job that never starts.  Events: the watch
-    is cut and its history is gone.  Cause would be to go on from "now".
+    The watch fails because the history was compacted.  If it continued from
+    the current revision, an accepted job would never start.
     """
     fleet.take_over()
-    wait_for(lambda: len(fleet.owner.roster.links) == 2)
+    wait_for(lambda: len(fleet.owner.worker_links.links) == 2)
     with fleet.store.lock:
         fleet.submit(fleetfakes.job("a"))
         fleet.store.compact()
     wait_for(lambda: fleet.running() == ["a.0.0.0"])
 
 
-def test_unlisted_worker_is_asked_though_its_address_is_listed(fleet):
-    """Ask a worker in use that is not listed, whoever else has its address.
+def test_unlisted_worker_is_contacted_though_its_address_is_listed(fleet):
+    """Contact an unlisted worker in use even if another has its address.
 
-    Symptom would be a task on two workers after a change of owner.  Events:
-    a worker was born again and used; its new entry lapsed in an outage while
-    its old one was still listed; the owner changed.  Cause would be to take
-    the one that is listed for the one that lives.
+    A worker restarted and was used, its new entry expired in an outage while
+    its old entry was still listed, and the owner changed.  If the listed
+    incarnation were taken for the live one, a task would run on two workers.
     """
-    again = fleetfakes.entry(0).worker_id + "-again"
-    fleet.workers[again] = fleetfakes.MemoryWorker(again)
+    restarted_id = fleetfakes.entry(0).worker_id + "-again"
+    fleet.workers[restarted_id] = fleetfakes.MemoryWorker(restarted_id)
     fleet.store.commit(messages.Transaction(puts=(messages.Put(
         records.WORKERS_KEY, records.encode_addresses(
-            {again: fleetfakes.entry(0).address})),)))
+            {restarted_id: fleetfakes.entry(0).address})),)))
     task = messages.TaskId("a", 0, 0, 0)
     fleet.submit(fleetfakes.job("a"))
-    fleet.workers[again].runs[task, 1] = fleetfakes.Run(task, 1)
+    fleet.workers[restarted_id].runs[task, 1] = fleetfakes.Run(task, 1)
     owner = fleet.take_over()
     fleet.submit(fleetfakes.job("b"))
     wait_for(lambda: "b.0.0.0" in fleet.running())
     assert fleet.starts() == ["b.0.0.0"]
-    assert again in owner.fleet.workers
+    assert restarted_id in owner.fleet.workers
 
 
-class Doubt(typing.NamedTuple):
-    """How long ago each lease was renewed when a new job is seen."""
+class LeaseAge(typing.NamedTuple):
+    """Say how long ago the lease was renewed, and how many starts follow."""
 
-    renewed_s_ago: float
+    age_s: float
     starts: int
 
 
-@pytest.mark.parametrize("doubt", [
-    Doubt(0.0, 1), Doubt(owner_mod.OWN_LEASE_S + 0.1, 0)])
-def test_an_owner_in_doubt_starts_no_job_that_a_successor_may_start(doubt):
-    """Leave what was stored after a successor's claim to the successor.
+@pytest.mark.parametrize("lease_age", [
+    LeaseAge(0.0, 1), LeaseAge(owner_mod.OWNER_LEASE_S + 0.1, 0)])
+def test_owner_with_an_expired_lease_starts_no_new_job(lease_age):
+    """Leave a job stored after a successor's claim to the successor.
 
-    Symptom: each task of a job ran twice at the same time.  Events: the
-    owner's renewals got no answer, its lease ended, a successor claimed the
-    fleet and was still reading the store; a job was stored, and the first
-    owner, which most workers still obeyed, saw it and started it, and so did
-    the successor.  Cause: only the successor's waiting for old jobs stood
-    between the two, and the job was new to both.
+    The owner's renewals got no answer, its lease expired, and a successor
+    claimed the fleet and was still loading the stored state.  Then a job was
+    stored.  The first owner, whose calls most workers still accepted, started
+    it, and so did the successor: it holds back only jobs older than its
+    claim, and this one was newer.  Each task ran twice at the same time.
     """
     fleet = Fleet()
-    old = fleet.take_over()
-    wait_for(lambda: old.recovered and all(
-        w.enrolled and w.has_reported for w in old.fleet.workers.values())
-        and len(old.fleet.workers) == 2)
-    old.lease_renewed(clock.now() - doubt.renewed_s_ago)
+    first_owner = fleet.take_over()
+    wait_for(lambda: first_owner.recovered and all(
+        w.enrolled and w.has_reported
+        for w in first_owner.fleet.workers.values())
+        and len(first_owner.fleet.workers) == 2)
+    first_owner.note_lease_renewal(clock.now() - lease_age.age_s)
     fleet.submit(fleetfakes.job("a"))
-    wait_for(lambda: "a" in old.fleet.jobs)
+    wait_for(lambda: "a" in first_owner.fleet.jobs)
     time.sleep(0.3)
-    assert len(fleet.starts()) == doubt.starts
-    old.lease_renewed(clock.now())
+    assert len(fleet.starts()) == lease_age.starts
+    first_owner.note_lease_renewal(clock.now())
     fleet.submit(fleetfakes.job("b"))
     wait_for(lambda: "b.0.0.0" in fleet.starts())
-    old.step_down("test over")
+    first_owner.step_down("test over")
 
 
-def test_jobs_held_back_in_doubt_start_once_the_lease_is_renewed(fleet):
+def test_jobs_held_back_start_once_the_lease_is_renewed(fleet):
     owner = fleet.take_over()
     wait_for(lambda: owner.recovered)
-    owner.lease_renewed(clock.now() - owner_mod.OWN_LEASE_S - 0.1)
+    owner.note_lease_renewal(clock.now() - owner_mod.OWNER_LEASE_S - 0.1)
     fleet.submit(fleetfakes.job("a"))
     wait_for(lambda: "a" in owner.fleet.jobs)
-    owner.lease_renewed(clock.now())
+    owner.note_lease_renewal(clock.now())
     wait_for(lambda: fleet.running() == ["a.0.0.0"])
 
 
-def test_a_start_that_a_successor_may_have_ordered_is_refused():
+def test_start_that_a_successor_may_have_ordered_is_refused():
     orders = []
     state = state_mod.FleetState(
         5, HOLD_MAX_MS, lambda *order: orders.append(order),
@@ -349,34 +345,37 @@
     assert not orders and task.phase == progress.IDLE
 
 
-def test_a_worker_back_while_a_list_without_it_is_written_must_wait(
+def test_worker_back_while_its_removal_is_stored_is_not_used(
         monkeypatch):
-    """A successor that reads that list would not ask the worker."""
+    """Do not use a worker that returns while its removal is being stored.
+
+    A successor that reads the stored list would not contact the worker.
+    """
     monkeypatch.setattr(link_mod.WorkerLink, "start", lambda self: None)
     fleet = Fleet()
     fence = fleet.store.commit(messages.Transaction(
         puts=(messages.Put(records.OWNER_KEY, b"me"),)))
     owner = owner_mod.Owner(
-        fleet.store, fleet.roster, lambda entry: None,
+        fleet.store, fleet.worker_list, lambda entry: None,
         fleetfakes.configuration, fence, HOLD_MAX_MS)
-    owner.roster.take_entries(fleet.roster.entries)
+    owner.worker_links.update_workers(fleet.worker_list.entries)
     assert owner.recorder.flush()
-    away = owner.fleet.workers["i-0"]
-    assert away.enrolled
-    away.sync_clock(0.0, clock.now())
+    worker = owner.fleet.workers["i-0"]
+    assert worker.enrolled
+    worker.sync_clock(0.0, clock.now())
     owner.fleet.mark_unresponsive("i-0", "no answer")
     owner.fleet.expire(clock.now() + 1.0)
     commit = fleet.store.commit
     enrolled = []
 
-    def unanswered(transaction):
+    def commit_without_answer(transaction):
         commit(transaction)
         monkeypatch.setattr(fleet.store, "commit", commit)
-        owner.roster.take_entries(fleet.roster.entries)
+        owner.worker_links.update_workers(fleet.worker_list.entries)
         enrolled.append(owner.fleet.workers["i-0"].enrolled)
         raise interfaces.CallFailed("no answer")
 
-    monkeypatch.setattr(fleet.store, "commit", unanswered)
+    monkeypatch.setattr(fleet.store, "commit", commit_without_answer)
     assert owner.recorder.flush()
     assert "i-0" not in records.decode_mapping(
         fleet.store.items[records.WORKERS_KEY].value)
@@ -387,36 +386,37 @@
 
 
 class Contender:
-    """Let a process compete for a fleet whose store can be silent."""
+    """Let a process compete for a fleet whose store can become unreachable."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         fleet.store.commit(messages.Transaction(
             puts=(messages.Put(CONFIG_KEY, b"any"),)))
-        view = operatorview.OperatorView(
+        watcher = controlwatcher.ControlWatcher(
             fleet.store, CONFIG_KEY, lambda _: fleetfakes.configuration())
         self.ownership = ownership_mod.Ownership(
-            fleet.store, view, "me", self.make_owner)
-        for target in (view.run, self.ownership.run):
+            fleet.store, watcher, "me", self.make_owner)
+        for target in (watcher.run, self.ownership.run):
             threading.Thread(target=target, daemon=True).start()
 
     def make_owner(self, fence: int) -> owner_mod.Owner:
         self.fleet.owner = owner_mod.Owner(
-            self.fleet.store, self.fleet.roster,
+            self.fleet.store, self.fleet.worker_list,
             lambda entry: self.fleet.workers[entry.worker_id],
             fleetfakes.configuration, fence, HOLD_MAX_MS)
         return self.fleet.owner
 
-    def lose_the_store(self) -> None:
-        """Cut the store off for longer than an owner goes on without it."""
+    def cut_off_store(self) -> None:
+        """Make the store unreachable until the owner has stepped down."""
         self.fleet.store.refuse = True
         owner = self.fleet.owner
-        owner.lease_renewed(clock.now() - recovery.WITHOUT_STORE_S - 1.0)
+        owner.note_lease_renewal(
+            clock.now() - recovery.MAX_STORE_OUTAGE_S - 1.0)
         wait_for(lambda: self.ownership.owner is None
-                 and not self.ownership.view.reachable)
+                 and not self.ownership.watcher.store_reachable)
 
     def stop(self) -> None:
-        self.ownership.view.stopped.set()
+        self.ownership.watcher.stopped.set()
         self.ownership.stop()
 
 
@@ -428,34 +428,38 @@
     contender.stop()
 
 
-class AfterSilence(typing.NamedTuple):
-    """What a run has come to when its owner is back from a silence."""
+class AfterOutage(typing.NamedTuple):
+    """State of the run and its worker when the store is reachable again."""
 
     ended: bool
-    holder_answers: bool
+    worker_answers: bool
 
 
 @pytest.mark.parametrize("case", [
-    AfterSilence(False, False), AfterSilence(False, True),
-    AfterSilence(True, False), AfterSilence(True, True)])
-def test_no_task_starts_twice_after_its_owner_was_without_the_store(
+    AfterOutage(False, False), AfterOutage(False, True),
+    AfterOutage(True, False), AfterOutage(True, True)])
+def test_no_task_starts_twice_after_its_owner_lost_the_store(
         fleet, contender, case):
-    """An owner whose key outlived a silent store must not reuse its fence."""
+    """Use a new fence after an outage that the owner's key survived.
+
+    With the old fence the runs of the earlier term would be taken for those
+    of the new one, and a task could be started twice.
+    """
     wait_for(lambda: fleet.owner is not None and fleet.owner.recovered)
     fleet.submit(fleetfakes.job("a"))
     wait_for(lambda: fleet.running() == ["a.0.0.0"])
-    first = fleet.owner
-    holder = next(w for w in fleet.workers.values() if w.runs)
-    contender.lose_the_store()
+    first_owner = fleet.owner
+    running_worker = next(w for w in fleet.workers.values() if w.runs)
+    contender.cut_off_store()
     if case.ended:
         finish(fleet, "a.0.0.0")
-    holder.unresponsive = not case.holder_answers
+    running_worker.unresponsive = not case.worker_answers
     fleet.store.refuse = False
-    wait_for(lambda: fleet.owner is not first and fleet.owner.recovered)
+    wait_for(lambda: fleet.owner is not first_owner and fleet.owner.recovered)
     fleet.submit(fleetfakes.job("b"))
     wait_for(lambda: "b.0.0.0" in fleet.running())
     assert fleet.starts().count("a.0.0.0") == 1
-    assert fleet.owner.fence > first.fence
-    holder.unresponsive = False
+    assert fleet.owner.fence > first_owner.fence
+    running_worker.unresponsive = False
     wait_for(lambda: not fleet.owner.fleet.awaited_workers)
     assert fleet.starts().count("a.0.0.0") == 1
--- a/tests/test_fleet_usage.py
+++ b/tests/test_fleet_usage.py
@@ -275,7 +275,7 @@
         test_fleet_takeover.wait_for(
             lambda: owner.gauges()["runs_ordered_total"] == 1)
         gauges = owner.gauges()
-        took = clock.now() - owner.began
+        took = clock.now() - owner.started_at
     finally:
         owner.step_down("test over")
     assert gauges["fence"] == fleet.store.items[
