--- a/bench/teams.py
+++ b/bench/teams.py
@@ -68,8 +68,9 @@
 
 def peak_cpus(spans: list[checks.Interval], each: float) -> dict[str, float]:
     """Return the most processors that each team held at once."""
-    changes = sorted([(s.began, each, s.job) for s in spans]
-                     + [(s.ended, -each, s.job) for s in spans if s.ended])
+    changes = sorted([(s.began_at, each, s.job) for s in spans]
+                     + [(s.ended_at, -each, s.job)
+                        for s in spans if s.ended_at])
     now: dict[str, float] = {}
     peak: dict[str, float] = {}
     for _, change, job in changes:
--- a/sycamorefield/causes.py
+++ b/sycamorefield/causes.py
@@ -5,234 +5,235 @@
 
 import typing
 
+from sycamorefield import delays
 from sycamorefield.fleet import messages
-from sycamorefield import losses as losses_mod
-from sycamorefield import story as story_mod
+from sycamorefield import jobhistory
 
 # Losses under this, in seconds, aren't called late: urgent work is to be
 # started within 1.1 s.
-LATE_S = 1.1
+LATE_THRESHOLD_S = 1.1
 # Above this share of its cores reserved a fleet counts as full.
-FULL_SHARE = 0.95
+FULL_FRACTION = 0.95
 # Above this share of its time in rounds an owner counts as saturated.
-BUSY_SHARE = 0.8
+SATURATED_FRACTION = 0.8
 # The use of the fleet is logged about each 2.5 s.
-USAGE_NEAR_S = 3.0
+USAGE_MARGIN_S = 3.0
 # A takeover takes about 2.5 s, so an owner's trouble with the store that led
 # to it is at most this much older.
-STORE_LOST_S = 5.0
+STORE_OUTAGE_WINDOW_S = 5.0
 _NO_REASON = "no reason logged"
 
 
-def cause(story: story_mod.Story) -> str:
+def likely_cause(history: jobhistory.JobHistory) -> str:
     """Return the likely cause of what became of the job, in one sentence."""
-    for rule in (_not_stored, _never_taken_up):
-        told = rule(story)
-        if told:
-            return told
-    found = losses_mod.losses(story)
-    late = _late(story, found)
-    state = story.finals[0].state if story.finals else ""
-    after = f"{story.until() - story.handed_in():.2f} s after the handing in"
+    for describe in (_describe_not_stored, _describe_not_picked_up):
+        text = describe(history)
+        if text:
+            return text
+    job_delays = delays.find_delays(history)
+    largest_delay = _describe_largest_delay(history, job_delays)
+    state = history.job_ends[0].state if history.job_ends else ""
+    elapsed = f"{history.observed_until() - history.submitted_at():.2f} s after the handing in"
     if state == messages.CANCELLED:
-        told = f"cancelled by its caller {after}"
-        return f"{told}; until then {late}" if late else told
+        text = f"cancelled by its caller {elapsed}"
+        return f"{text}; until then {largest_delay}" if largest_delay else text
     if state == messages.JOB_FAILED:
-        told = story.finals[0].reason or _failures(story)
-        return f"failed for good {after}: {told}"
+        text = history.job_ends[0].reason or _describe_failures(history)
+        return f"failed for good {elapsed}: {text}"
     if not state:
-        return _open(story, late)
-    return late or f"{state} {after}, and no wait of {LATE_S} s before"
+        return _describe_open_job(history, largest_delay)
+    return largest_delay or f"{state} {elapsed}, and no wait of {LATE_THRESHOLD_S} s before"
 
 
-def _not_stored(story: story_mod.Story) -> str:
-    if story.stored() or not story.answers:
+def _describe_not_stored(history: jobhistory.JobHistory) -> str:
+    if history.is_stored() or not history.replies:
         return ""
-    last = story.answers[-1]
-    for answer in reversed(story.answers):
-        if answer.kind == story_mod.UNCERTAIN:
-            return (f"the store gave {answer.process} no sure answer and no "
+    last = history.replies[-1]
+    for reply in reversed(history.replies):
+        if reply.kind == jobhistory.UNCERTAIN:
+            return (f"the store gave {reply.process} no sure answer and no "
                     "owner took the job up in these logs, so it probably "
-                    f"wasn't stored: {answer.reason or _NO_REASON}")
+                    f"wasn't stored: {reply.reason or _NO_REASON}")
     return f"refused by {last.process}: {last.reason or _NO_REASON}"
 
 
-def _never_taken_up(story: story_mod.Story) -> str:
-    if story.sightings or story.tasks or story.finals:
+def _describe_not_picked_up(history: jobhistory.JobHistory) -> str:
+    if history.pickups or history.tasks or history.job_ends:
         return ""
-    begin, end = story.handed_in(), story.until()
-    told = "not taken up in these logs; "
-    if not story.ownerships:
-        return told + "no process logged that it owns the fleet"
+    begin, end = history.submitted_at(), history.observed_until()
+    text = "not taken up in these logs; "
+    if not history.ownerships:
+        return text + "no process logged that it owns the fleet"
     if begin > end:
-        return told + (f"no owner's line is in them after {end:.3f}: nobody "
+        return text + (f"no owner's line is in them after {end:.3f}: nobody "
                        "owned the fleet, or they aren't whole")
-    first = story.ownerships[0]
-    if begin < first.claimed and not first.claim_logged:
-        return told + (f"an owner's lines begin only at {first.claimed:.3f}, "
+    first = history.ownerships[0]
+    if begin < first.claimed_at and not first.claim_logged:
+        return text + (f"an owner's lines begin only at {first.claimed_at:.3f}, "
                        "so they aren't whole")
-    without = losses_mod.ownerless_s(story, begin, end)
-    return told + (f"in the {end - begin:.2f} s until an owner's lines end, "
-                   f"nobody is seen to own the fleet for {without:.2f} s")
+    without_owner_s = delays.time_without_owner_s(history, begin, end)
+    return text + (f"in the {end - begin:.2f} s until an owner's lines end, "
+                   f"nobody is seen to own the fleet for {without_owner_s:.2f} s")
 
 
-def _late(story: story_mod.Story, found: list[losses_mod.Loss]) -> str:
+def _describe_largest_delay(history: jobhistory.JobHistory, job_delays: list[delays.Delay]) -> str:
     """Name the largest loss, if the job lost much at all."""
-    totals = losses_mod.by_kind(found)
+    totals = delays.total_by_kind(job_delays)
     kind = next(iter(totals), "")
     seconds = totals.get(kind, 0.0)
-    if seconds < LATE_S:
+    if seconds < LATE_THRESHOLD_S:
         return ""
-    parts = [loss for loss in found if loss.kind == kind and loss.seconds]
-    return _TELL.get(kind, _tell_lost)(story, seconds, parts)
+    kind_delays = [delay for delay in job_delays if delay.kind ==
+                   kind and delay.seconds]
+    return _DESCRIBE_BY_KIND.get(kind, _describe_lost_runs)(history, seconds, kind_delays)
 
 
-def _tell_store(story: story_mod.Story, seconds: float,
-                parts: list[losses_mod.Loss]) -> str:
-    unsure = [answer for answer in story.answers
-              if answer.kind != story_mod.STORED]
+def _describe_store_delay(history: jobhistory.JobHistory, seconds: float,
+                          kind_delays: list[delays.Delay]) -> str:
+    unconfirmed = [reply for reply in history.replies
+                   if reply.kind != jobhistory.STORED]
     return (f"not known to be stored for {seconds:.2f} s after it was first "
-            f"handed in: {unsure[0].process} {unsure[0].kind}, "
-            f"{unsure[0].reason or _NO_REASON}")
+            f"handed in: {unconfirmed[0].process} {unconfirmed[0].kind}, "
+            f"{unconfirmed[0].reason or _NO_REASON}")
 
 
-def _tell_no_owner(story: story_mod.Story, seconds: float,
-                   parts: list[losses_mod.Loss]) -> str:
-    longest = max(parts, key=lambda loss: loss.seconds)
-    took_over = [own for own in story.ownerships
-                 if longest.begin <= (own.ready or own.claimed)
-                 and own.claimed <= longest.end]
-    if not took_over:
+def _describe_no_owner(history: jobhistory.JobHistory, seconds: float,
+                       kind_delays: list[delays.Delay]) -> str:
+    longest = max(kind_delays, key=lambda delay: delay.seconds)
+    successors = [ownership for ownership in history.ownerships
+                  if longest.begin <= (ownership.ready_at or ownership.claimed_at)
+                  and ownership.claimed_at <= longest.end]
+    if not successors:
         return f"waited {seconds:.2f} s without an owner that was ready"
-    new = took_over[-1]
-    told = (f"waited {seconds:.2f} s without an owner, until {new.process} "
-            f"took the fleet over (claimed at {new.claimed:.3f})")
-    place = story.ownerships.index(new)
-    return told + (_tell_earlier(story, story.ownerships[place - 1], new)
-                   if place else "")
+    new = successors[-1]
+    text = (f"waited {seconds:.2f} s without an owner, until {new.process} "
+            f"took the fleet over (claimed at {new.claimed_at:.3f})")
+    index = history.ownerships.index(new)
+    return text + (_describe_previous_owner(history, history.ownerships[index - 1], new)
+                   if index else "")
 
 
-def _tell_earlier(story: story_mod.Story, old: story_mod.Ownership,
-                  new: story_mod.Ownership) -> str:
+def _describe_previous_owner(history: jobhistory.JobHistory, previous: jobhistory.Ownership,
+                             new: jobhistory.Ownership) -> str:
     """Tell why the owner before was of no use."""
-    end = new.claimed if new.ready is None else new.ready
+    end = new.claimed_at if new.ready_at is None else new.ready_at
     # Of several lines on one loss the first.
-    cut_off = [loss.at for loss in story.store_losses
-               if loss.process == old.process
-               and new.claimed - STORE_LOST_S <= loss.at <= end]
-    if cut_off:
-        return (f"; the store didn't answer {old.process}, the owner before, "
-                f"at {cut_off[0]:.3f}")
-    if old.over is None:
-        return (f"; {old.process} wrote nothing as owner after "
-                f"{old.last_act:.3f}: it was gone, stood still, or its log "
+    outages = [delay.at for delay in history.store_outages
+               if delay.process == previous.process
+               and new.claimed_at - STORE_OUTAGE_WINDOW_S <= delay.at <= end]
+    if outages:
+        return (f"; the store didn't answer {previous.process}, the owner before, "
+                f"at {outages[0]:.3f}")
+    if previous.ended_at is None:
+        return (f"; {previous.process} wrote nothing as owner after "
+                f"{previous.last_active_at:.3f}: it was gone, stood still, or its log "
                 "isn't whole")
-    reason = f": {old.reason}" if old.reason else ""
-    return f"; {old.process} lost it at {old.over:.3f}{reason}"
+    reason = f": {previous.reason}" if previous.reason else ""
+    return f"; {previous.process} lost it at {previous.ended_at:.3f}{reason}"
 
 
-def _tell_take_up(story: story_mod.Story, seconds: float,
-                  parts: list[losses_mod.Loss]) -> str:
-    return (f"{story.sightings[0].process} owned the fleet but took the job "
+def _describe_pickup_delay(history: jobhistory.JobHistory, seconds: float,
+                           kind_delays: list[delays.Delay]) -> str:
+    return (f"{history.pickups[0].process} owned the fleet but took the job "
             f"up only after {seconds:.2f} s")
 
 
-def _tell_room(story: story_mod.Story, seconds: float,
-               parts: list[losses_mod.Loss]) -> str:
-    longest = max(parts, key=lambda loss: loss.seconds)
-    told = (f"waited {seconds:.2f} s to be placed "
+def _describe_placement_delay(history: jobhistory.JobHistory, seconds: float,
+                              kind_delays: list[delays.Delay]) -> str:
+    longest = max(kind_delays, key=lambda delay: delay.seconds)
+    text = (f"waited {seconds:.2f} s to be placed "
             f"(longest from {longest.begin:.3f} to {longest.end:.3f}): ")
-    near = _usages(story, longest.begin, longest.end)
-    if not near:
-        return told + "no SF1834 near that time"
-    least = min(near, key=lambda use: use.capacity_cores
-                - use.reserved_cores)
-    free = least.capacity_cores - least.reserved_cores
-    gap = min(use.widest_gap_cores for use in near)
-    told += (f"SF1834 at {least.at:.3f} shows {free:.0f} of "
-             f"{least.capacity_cores:.0f} cores free, widest gap {gap:.1f}, "
-             f"{max(use.waiting for use in near)} tasks waiting; ")
-    unheard = max(use.unheard for use in near)
+    usages = _usages_during(history, longest.begin, longest.end)
+    if not usages:
+        return text + "no SF1834 near that time"
+    fullest = min(usages, key=lambda use: use.capacity_cores
+                  - use.reserved_cores)
+    free = fullest.capacity_cores - fullest.reserved_cores
+    widest_gap_cores = min(use.widest_gap_cores for use in usages)
+    text += (f"SF1834 at {fullest.at:.3f} shows {free:.0f} of "
+             f"{fullest.capacity_cores:.0f} cores free, widest gap {widest_gap_cores:.1f}, "
+             f"{max(use.waiting_tasks for use in usages)} tasks waiting; ")
+    unheard = max(use.awaited_workers for use in usages)
     if unheard:
-        return told + (f"{unheard} workers of the earlier owner hadn't "
+        return text + (f"{unheard} workers of the earlier owner hadn't "
                        "reported yet")
-    if any(use.busy_s > BUSY_SHARE * (use.busy_s + use.idle_s)
-           for use in near):
-        return told + "the owner was saturated"
-    if least.reserved_cores > FULL_SHARE * least.capacity_cores:
-        return told + "the fleet was full"
-    return told + ("the fleet wasn't full, so a task wider than the gap, the "
+    if any(use.rounds_busy_s > SATURATED_FRACTION * (use.rounds_busy_s + use.rounds_waited_s)
+           for use in usages):
+        return text + "the owner was saturated"
+    if fullest.reserved_cores > FULL_FRACTION * fullest.capacity_cores:
+        return text + "the fleet was full"
+    return text + ("the fleet wasn't full, so a task wider than the gap, the "
                    "queue's share, a start time, data or advice held it")
 
 
-def _usages(story: story_mod.Story, begin: float, end: float
-            ) -> list[story_mod.Usage]:
+def _usages_during(history: jobhistory.JobHistory, begin: float, end: float
+                   ) -> list[jobhistory.FleetUsage]:
     """Return the fleet's use in a time, or else the use nearest to it."""
-    within = [use for use in story.usages if begin <= use.at <= end]
+    within = [use for use in history.usages if begin <= use.at <= end]
     if within:
         return within
-    near = [use for use in story.usages
-            if begin - USAGE_NEAR_S <= use.at <= end + USAGE_NEAR_S]
-    return sorted(near, key=lambda use: abs(use.at - end))[:1]
+    usages = [use for use in history.usages
+              if begin - USAGE_MARGIN_S <= use.at <= end + USAGE_MARGIN_S]
+    return sorted(usages, key=lambda use: abs(use.at - end))[:1]
 
 
-def _tell_paced(story: story_mod.Story, seconds: float,
-                parts: list[losses_mod.Loss]) -> str:
-    workers = {loss.run.worker for loss in parts if loss.run}
-    lowest = min((pace for loss in parts if loss.run
-                  for _, pace in loss.run.paces), default=0.0)
+def _describe_throttling(history: jobhistory.JobHistory, seconds: float,
+                         kind_delays: list[delays.Delay]) -> str:
+    workers = {delay.run.worker for delay in kind_delays if delay.run}
+    lowest_pace = min((pace for delay in kind_delays if delay.run
+                       for _, pace in delay.run.pace_changes), default=0.0)
     return (f"slowed for latency-critical tasks beside it: paces down to "
-            f"{lowest:.0f}% cost {seconds:.2f} s on {_listed(workers)}")
+            f"{lowest_pace:.0f}% cost {seconds:.2f} s on {_join_limited(workers)}")
 
 
-def _tell_lost(story: story_mod.Story, seconds: float,
-               parts: list[losses_mod.Loss]) -> str:
-    runs = [loss.run for loss in parts if loss.run]
-    where = _listed({run.worker for run in runs})
-    if parts[0].kind == losses_mod.UNANSWERED:
-        return (f"{count(len(runs), 'order')} got no answer, which took "
+def _describe_lost_runs(history: jobhistory.JobHistory, seconds: float,
+                        kind_delays: list[delays.Delay]) -> str:
+    runs = [delay.run for delay in kind_delays if delay.run]
+    where = _join_limited({run.worker for run in runs})
+    if kind_delays[0].kind == delays.UNANSWERED:
+        return (f"{format_count(len(runs), 'order')} got no answer, which took "
                 f"{seconds:.2f} s in all, on {where}")
-    return (f"{count(len(runs), 'run')} {parts[0].kind}, after "
+    return (f"{format_count(len(runs), 'run')} {kind_delays[0].kind}, after "
             f"{seconds:.2f} s in all, on {where}")
 
 
-def count(number: int, noun: str) -> str:
+def format_count(number: int, noun: str) -> str:
     """Return a number with its noun."""
     return f"{number} {noun}" + ("" if number == 1 else "s")
 
 
-def _failures(story: story_mod.Story) -> str:
-    failed = {name: [run.worker for run in task.in_order()
-                     if run.how == messages.FAILED]
-              for name, task in story.tasks.items()}
+def _describe_failures(history: jobhistory.JobHistory) -> str:
+    failed = {name: [run.worker for run in task.runs_in_order()
+                     if run.outcome == messages.FAILED]
+              for name, task in history.tasks.items()}
     if not any(failed.values()):
         return "no failed run in the logs"
     name, workers = max(failed.items(), key=lambda item: len(item[1]))
-    return (f"task {name.rpartition(story.job_id + '.')[2]} failed "
-            f"{len(workers)} times, on {_listed(set(workers))}")
+    return (f"task {name.rpartition(history.job_id + '.')[2]} failed "
+            f"{len(workers)} times, on {_join_limited(set(workers))}")
 
 
-def _listed(workers: set[str], most: int = 4) -> str:
+def _join_limited(workers: set[str], max_names: int = 4) -> str:
     names = sorted(workers)
-    if len(names) > most:
-        return ", ".join(names[:most]) + f" and {len(names) - most} more"
+    if len(names) > max_names:
+        return ", ".join(names[:max_names]) + f" and {len(names) - max_names} more"
     return ", ".join(names)
 
 
-def _open(story: story_mod.Story, late: str) -> str:
-    going = sum(1 for task in story.tasks.values()
-                if task.in_order()[-1].over is None)
-    return (f"open when its owner's lines end at {story.until():.3f}, with "
-            f"{count(going, 'run')} not over; "
-            + (f"until then {late}" if late
-               else f"no wait of {LATE_S} s before"))
+def _describe_open_job(history: jobhistory.JobHistory, largest_delay: str) -> str:
+    open_runs = sum(1 for task in history.tasks.values()
+                    if task.runs_in_order()[-1].ended_at is None)
+    return (f"open when its owner's lines end at {history.observed_until():.3f}, with "
+            f"{format_count(open_runs, 'run')} not over; "
+            + (f"until then {largest_delay}" if largest_delay
+               else f"no wait of {LATE_THRESHOLD_S} s before"))
 
 
 # How losses of a kind are told; all others are of runs that were lost.
-_TELL: dict[str, typing.Callable[
-    [story_mod.Story, float, list[losses_mod.Loss]], str]] = {
-        losses_mod.STORE: _tell_store,
-        losses_mod.NO_OWNER: _tell_no_owner,
-        losses_mod.TAKE_UP: _tell_take_up,
-        losses_mod.ROOM: _tell_room,
-        losses_mod.PACED: _tell_paced}
+_DESCRIBE_BY_KIND: dict[str, typing.Callable[
+    [jobhistory.JobHistory, float, list[delays.Delay]], str]] = {
+        delays.STORE: _describe_store_delay,
+        delays.NO_OWNER: _describe_no_owner,
+        delays.PICKUP: _describe_pickup_delay,
+        delays.PLACEMENT: _describe_placement_delay,
+        delays.THROTTLED: _describe_throttling}
--- a/sycamorefield/cli.py
+++ b/sycamorefield/cli.py
@@ -16,6 +16,7 @@
 from sycamorefield import errors
 from sycamorefield import events
 from sycamorefield import explain as explain_mod
+from sycamorefield import historyreader
 from sycamorefield import httpserver
 from sycamorefield import kvclient
 from sycamorefield import kvstore
@@ -25,7 +26,6 @@
 from sycamorefield.platform import daemon
 from sycamorefield import policysettings
 from sycamorefield import settings
-from sycamorefield import storyreader
 from sycamorefield import sycamorefield_pb2 as pb
 from sycamorefield import timeline as timeline_mod
 from sycamorefield import vmlist
@@ -168,15 +168,15 @@
     print(load_mod.render(report))
 
 
-def _read_logs(paths: typing.Iterable[str]) -> logfiles.Reading:
+def _read_logs(paths: typing.Iterable[str]) -> logfiles.ParsedLogs:
     """Read logs, and say how many lines were skipped."""
     try:
         reading = logfiles.read(paths)
     except OSError as exc:
         print(f"cannot read logs: {exc}", file=sys.stderr)
         sys.exit(EXIT_NOT_FOUND)
-    if reading.skipped:
-        print(f"{reading.skipped} line(s) skipped that are no log lines",
+    if reading.skipped_lines:
+        print(f"{reading.skipped_lines} line(s) skipped that are no log lines",
               file=sys.stderr)
     return reading
 
@@ -194,7 +194,7 @@
     """
     sources = [*paths, *([log_dir] if log_dir else [])]
     reading = _read_logs(sources or [_options(settings_path).log_dir])
-    lines = timeline_mod.of_job(reading.lines, job_id, request_id)
+    lines = timeline_mod.filter_lines(reading.lines, job_id, request_id)
     if out:
         count = timeline_mod.write(lines, out)
         print(f"{count} events written to {out}")
@@ -214,7 +214,7 @@
         print("name the logs to read: files or folders", file=sys.stderr)
         sys.exit(EXIT_SETTINGS)
     reading = _read_logs(paths)
-    found = storyreader.collect(reading.lines, job_id)
+    found = historyreader.read_history(reading.lines, job_id)
     if found is None:
         print(f"no line of these {len(reading.lines)} events names job "
               f"{job_id}", file=sys.stderr)
--- /dev/null
+++ b/sycamorefield/delays.py
@@ -0,0 +1,218 @@
+"""Add up what a job lost to each cause, from its story alone.
+
+Of each step only the task that ended last counts, as it holds up what
+follows.
+"""
+
+import collections
+import dataclasses
+
+from sycamorefield.fleet import messages
+from sycamorefield import jobhistory
+
+FULL_PACE_PERCENT = 100.0
+
+STORE = "the store"
+NO_OWNER = "no owner"
+PICKUP = "taking up"
+PLACEMENT = "room"
+THROTTLED = "paced"
+UNANSWERED = "unanswered"
+# Why a run was stopped, where that costs its job nothing.
+_COST_FREE_STOP_REASONS = ("done elsewhere", "job ")
+_UNANSWERED_STOP_REASON = "start got no answer"
+_STALLED_STOP_REASON = "little progress here"
+_PREEMPTION_STOP_REASON = "room for "
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Delay:
+    """Hold what a job lost to one cause, between two times, in seconds."""
+
+    kind: str
+    begin: float
+    end: float
+    seconds: float
+    # The run that was lost.
+    run: jobhistory.Run | None = None
+
+    @classmethod
+    def spanning(cls, kind: str, begin: float, end: float,
+                 run: jobhistory.Run | None = None) -> "Delay":
+        """Return a loss of all the time between begin and end."""
+        return cls(kind, begin, end, max(0.0, end - begin), run)
+
+
+def periods_without_owner(history: jobhistory.JobHistory) -> list[tuple[float, float]]:
+    """Return from when to when nobody is seen to have owned the fleet."""
+    periods = []
+    for previous, successor in zip(history.ownerships, history.ownerships[1:]):
+        begin = previous.last_active_at
+        if previous.ended_at is not None:
+            begin = min(begin, previous.ended_at)
+        end = history.log_end if successor.ready_at is None else successor.ready_at
+        if begin < end:
+            periods.append((begin, end))
+    first = history.ownerships[0] if history.ownerships else None
+    if first is not None and first.claim_logged:
+        ready_at = first.claimed_at if first.ready_at is None else first.ready_at
+        periods.insert(0, (history.log_begin, ready_at))
+    return periods
+
+
+def time_without_owner_s(history: jobhistory.JobHistory, begin: float, end: float) -> float:
+    """Return for how long of a time nobody is seen to have owned it."""
+    return sum(max(0.0, min(end, until) - max(begin, since))
+               for since, until in periods_without_owner(history))
+
+
+def find_delays(history: jobhistory.JobHistory) -> list[Delay]:
+    """Return what the job lost, part by part."""
+    delays: list[Delay] = []
+    ready_at = history.submitted_at()
+    if history.pickups:
+        ready_at = max(ready_at, history.pickups[0].at)
+        stored_at = min(ready_at, _stored_at(history))
+        delays.append(Delay.spanning(STORE, history.submitted_at(), stored_at))
+        delays += _pickup_delays(history, stored_at, ready_at)
+    for tasks in history.steps().values():
+        delays += _step_delays(history, tasks, ready_at)
+    if not history.tasks:
+        delays += _waiting_delays(history, ready_at, history.observed_until())
+    elif not history.job_ends and all(task.first_done_at() is not None
+                                      for task in history.tasks.values()):
+        # A step that follows was never begun.
+        last = max(task.first_done_at()
+                   or 0.0 for task in history.tasks.values())
+        delays += _waiting_delays(history, last, history.observed_until())
+    return delays
+
+
+def _pickup_delays(history: jobhistory.JobHistory, stored_at: float, ready_at: float
+                   ) -> list[Delay]:
+    """Tell a wait for a new owner from one that an owner's delay made.
+
+    An owner that is cut off from the store still acts on its workers'
+    reports, but sees no new jobs until another takes over.
+    """
+    picker = history.pickups[0].process
+    if any(ownership.process == picker and ownership.claim_logged
+           and stored_at < ownership.claimed_at <= ready_at for ownership in history.ownerships):
+        return [Delay.spanning(NO_OWNER, stored_at, ready_at)]
+    return _waiting_delays(history, stored_at, ready_at, PICKUP)
+
+
+def _stored_at(history: jobhistory.JobHistory) -> float:
+    """Return by when the job was stored, as far as callers were told."""
+    stored_at = [reply.at for reply in history.replies
+                 if reply.kind == jobhistory.STORED]
+    unconfirmed = [reply.at for reply in history.replies
+                   if reply.kind != jobhistory.STORED]
+    return min(stored_at) if stored_at else max(unconfirmed, default=0.0)
+
+
+def _step_delays(history: jobhistory.JobHistory, tasks: list[jobhistory.Task],
+                 picked_up_at: float) -> list[Delay]:
+    ready_at = _step_ready_at(history, tasks, picked_up_at)
+    candidates = [(task.first_done_at() or history.observed_until(),
+                   _task_delays(history, task, ready_at)) for task in tasks]
+    # Of tasks that go on, the one that lost most.
+    return max(candidates, key=lambda pair: (
+        pair[0], sum(delay.seconds for delay in pair[1])))[1]
+
+
+def _step_ready_at(history: jobhistory.JobHistory, tasks: list[jobhistory.Task],
+                   picked_up_at: float) -> float:
+    """Return when a step could begin.
+
+    Logs don't say what it waits for; it's taken to be the last end of
+    earlier steps before its first order.
+    """
+    first_ordered_at = min(task.first_ordered_at() for task in tasks)
+    occurrence, number = tasks[0].step().split(".")
+    if int(occurrence) > 0 and int(number) == 0:
+        # When it was due isn't logged.
+        return first_ordered_at
+    ends = [done for step, earlier in history.steps().items()
+            for done in (task.first_done_at() for task in earlier)
+            if done is not None and done <= first_ordered_at
+            and step.split(".")[0] == occurrence
+            and int(step.split(".")[1]) < int(number)]
+    return max(ends, default=picked_up_at if occurrence == "0" else first_ordered_at)
+
+
+def _task_delays(history: jobhistory.JobHistory, task: jobhistory.Task,
+                 ready_at: float) -> list[Delay]:
+    delays = []
+    runs = task.runs_in_order()
+    for run, next_run in zip(runs, [*runs[1:], None]):
+        delays += _waiting_delays(history, ready_at, run.began_at())
+        ended_at = run.ended_at
+        if ended_at is None:
+            ended_at = next_run.began_at() if next_run else history.observed_until()
+        delays += _run_delays(run, ended_at, next_run is not None)
+        if run.outcome == messages.DONE:
+            return delays
+        ready_at = ended_at
+    if runs[-1].ended_at is not None and not _is_cost_free_stop(runs[-1]):
+        delays += _waiting_delays(history, ready_at, history.observed_until())
+    return delays
+
+
+def _waiting_delays(history: jobhistory.JobHistory, begin: float, end: float,
+                    other_kind: str = PLACEMENT) -> list[Delay]:
+    """Split a wait into time without an owner and time lost otherwise."""
+    without_owner_s = time_without_owner_s(history, begin, end)
+    return [Delay(NO_OWNER, begin, end, without_owner_s),
+            Delay(other_kind, begin, end, max(0.0, end - begin - without_owner_s))]
+
+
+def _run_delays(run: jobhistory.Run, ended_at: float, superseded: bool
+                ) -> list[Delay]:
+    throttled = Delay(THROTTLED, run.began_at(), ended_at,
+                      _throttled_s(run, ended_at), run)
+    if run.outcome == messages.DONE:
+        return [throttled]
+    if run.ended_at is None and not superseded:
+        # It may still go on.
+        return ([throttled] if run.unanswered_at is None else
+                [Delay.spanning(UNANSWERED, run.began_at(), ended_at, run)])
+    if _is_cost_free_stop(run):
+        return []
+    if run.stop_reason == _STALLED_STOP_REASON and throttled.seconds:
+        # It was moved because it was slowed.
+        return [throttled]
+    return [Delay.spanning(_lost_run_kind(run), run.began_at(), ended_at, run)]
+
+
+def _is_cost_free_stop(run: jobhistory.Run) -> bool:
+    return run.stop_reason.startswith(_COST_FREE_STOP_REASONS)
+
+
+def _lost_run_kind(run: jobhistory.Run) -> str:
+    """Say how a run was lost."""
+    if run.unanswered_at is not None or run.stop_reason == _UNANSWERED_STOP_REASON:
+        return UNANSWERED
+    if run.stop_reason.startswith(_PREEMPTION_STOP_REASON):
+        return "stopped to make room for more urgent tasks"
+    if run.stop_reason:
+        return f"stopped ({run.stop_reason})"
+    return run.outcome or "without a report of an end"
+
+
+def _throttled_s(run: jobhistory.Run, ended_at: float) -> float:
+    """Return how much time a run lost to paces below the full one."""
+    lost_s = 0.0
+    for (at, pace), (until, _) in zip(run.pace_changes, [*run.pace_changes[1:],
+                                                         (ended_at, 0.0)]):
+        fraction = min(max(pace, 0.0), FULL_PACE_PERCENT) / FULL_PACE_PERCENT
+        lost_s += (1.0 - fraction) * max(0.0, min(until, ended_at) - at)
+    return lost_s
+
+
+def total_by_kind(delays: list[Delay]) -> dict[str, float]:
+    """Return the seconds lost to each cause, the largest first."""
+    totals: dict[str, float] = collections.defaultdict(float)
+    for delay in delays:
+        totals[delay.kind] += delay.seconds
+    return dict(sorted(totals.items(), key=lambda item: -item[1]))
--- a/sycamorefield/events.py
+++ b/sycamorefield/events.py
@@ -65,13 +65,13 @@
 TASK_EVICTED = Event("SF1404", WARNING, "task evicted")
 TASK_REFUSED = Event("SF1405", WARNING, "worker refused task")
 JOB_MOVED = Event("SF1406", INFO, "job moved to a cell with room")
-FENCE_REFUSED = Event("SF1407", WARNING, "stale fence refused")
-TASK_LAPSED = Event("SF1408", WARNING, "task lease lapsed on worker")
+STALE_FENCE_REJECTED = Event("SF1407", WARNING, "stale fence refused")
+TASK_LEASE_EXPIRED = Event("SF1408", WARNING, "task lease lapsed on worker")
 TASK_BEGAN = Event("SF1409", INFO, "worker began a task")
 TASK_ENDED = Event("SF1410", INFO, "worker ended a task")
 TASK_FAILED = Event("SF1411", WARNING, "task failed on its worker")
 TASK_ORPHANED = Event("SF1412", WARNING, "task without a placement stopped")
-WORKER_SHUNNED = Event("SF1413", WARNING, "worker shunned after failures")
+WORKER_EXCLUDED = Event("SF1413", WARNING, "worker shunned after failures")
 WORKER_LOST = Event("SF1414", WARNING, "worker lost; its jobs queued again")
 TASK_STOPPED = Event("SF1416", INFO, "task of a cancelled job stopped")
 TASK_SUSPECTED = Event("SF1417", WARNING,
@@ -86,8 +86,8 @@
 ENTRY_UNREADABLE = Event("SF1801", WARNING, "entry of another writer skipped")
 CONFIG_APPLIED = Event("SF1802", INFO, "configuration applied")
 CONFIG_UNREADABLE = Event("SF1803", ERROR, "configuration cannot be read")
-STORE_LOST = Event("SF1804", WARNING, "store does not answer")
-STORE_REGAINED = Event("SF1805", INFO, "store answers again")
+STORE_UNREACHABLE = Event("SF1804", WARNING, "store does not answer")
+STORE_REACHABLE = Event("SF1805", INFO, "store answers again")
 OWNERSHIP_CLAIMED = Event("SF1806", INFO, "fleet ownership claimed")
 OWNERSHIP_LOST = Event("SF1807", WARNING, "fleet ownership lost")
 OWNERSHIP_RELEASED = Event("SF1808", INFO, "fleet ownership released")
@@ -96,7 +96,7 @@
 JOB_REFUSED = Event("SF1811", INFO, "request refused")
 JOB_UNCERTAIN = Event("SF1812", WARNING, "request's fate is not known")
 CANCEL_STORED = Event("SF1813", INFO, "cancellation stored")
-JOB_SEEN = Event("SF1814", INFO, "owner took up a job")
+JOB_PICKED_UP = Event("SF1814", INFO, "owner took up a job")
 JOB_ENDED = Event("SF1815", INFO, "job reached a final state")
 RUN_ORDERED = Event("SF1816", INFO, "runs ordered")
 RUN_REJECTED = Event("SF1817", WARNING, "worker rejected a run")
@@ -106,9 +106,9 @@
 RUN_UNEXPECTED = Event("SF1821", WARNING, "run that should not be there")
 RUN_VANISHED = Event("SF1822", WARNING, "run neither runs nor ended")
 WORKER_JOINED = Event("SF1823", INFO, "worker joined the fleet")
-WORKER_SILENT = Event("SF1824", WARNING, "worker does not answer")
-WORKER_REGAINED = Event("SF1825", INFO, "worker answers again")
-WORKER_GONE = Event("SF1826", WARNING, "worker's runs are certainly over")
+WORKER_UNRESPONSIVE = Event("SF1824", WARNING, "worker does not answer")
+WORKER_RESPONSIVE = Event("SF1825", INFO, "worker answers again")
+WORKER_RUNS_LOST = Event("SF1826", WARNING, "worker's runs are certainly over")
 WORKER_AVOIDED = Event("SF1827", WARNING, "worker avoided for a while")
 PACE_CHANGED = Event("SF1828", INFO, "paces of filling runs changed")
 COMMIT_FAILED = Event("SF1829", WARNING, "commit of task outcomes failed")
@@ -120,8 +120,9 @@
 ADVICE_MISSING = Event("SF1836", WARNING, "no advice on workers")
 SETTING_IGNORED = Event("SF1837", ERROR, "setting asks for what is not there")
 WORKER_CRASHED = Event("SF1838", WARNING, "tasks suspected of a crash")
-TRIAL_BEGUN = Event("SF1839", INFO, "suspected tasks tried apart from others")
-TRIAL_OVER = Event("SF1840", INFO, "trial of suspected tasks is over")
+QUARANTINE_STARTED = Event(
+    "SF1839", INFO, "suspected tasks tried apart from others")
+QUARANTINE_ENDED = Event("SF1840", INFO, "trial of suspected tasks is over")
 
 INVARIANT_BROKEN = Event("SF1601", ERROR, "invariant broken")
 
@@ -188,9 +189,9 @@
 
 
 # How long the end of a process waits for its last lines to be written.
-LAST_LINES_S = 0.3
+FLUSH_TIMEOUT_S = 0.3
 # Lines that wait for a slow reader of standard output; about 1 MB.
-LINES_WAITING = 4000
+MAX_QUEUED_LINES = 4000
 
 
 class StdoutHandler(logbook.Handler):
@@ -203,7 +204,7 @@
     def __init__(self) -> None:
         super().__init__(level=logbook.INFO, bubble=True)
         self.formatter = _format
-        self.lines: queue.Queue[str] = queue.Queue(LINES_WAITING)
+        self.lines: queue.Queue[str] = queue.Queue(MAX_QUEUED_LINES)
         self.dropped = 0
         threading.Thread(target=self._write, daemon=True).start()
 
@@ -220,9 +221,9 @@
         The thread that writes ends with the process, and the last lines tell
         whether a stop went as planned.
         """
-        until = time.monotonic() + LAST_LINES_S
+        until = time.monotonic() + FLUSH_TIMEOUT_S
         while self.lines.unfinished_tasks and time.monotonic() < until:
-            time.sleep(LAST_LINES_S / 30)
+            time.sleep(FLUSH_TIMEOUT_S / 30)
 
     def _write(self) -> None:
         while True:
@@ -235,7 +236,7 @@
                 emit(LINES_DROPPED, lines=count)
 
 
-def place(exc: BaseException) -> str:
+def error_location(exc: BaseException) -> str:
     """Return the file and line at which an error arose."""
     frames = traceback.extract_tb(exc.__traceback__)
     if not frames:
--- a/sycamorefield/fleet/inbox.py
+++ b/sycamorefield/fleet/inbox.py
@@ -46,7 +46,7 @@
         except surroundings.HistoryGone:
             return self._reread(after)
         except surroundings.CallFailed as exc:
-            events.emit(events.STORE_LOST, reason=f"inbox: {exc}")
+            events.emit(events.STORE_UNREACHABLE, reason=f"inbox: {exc}")
             self.over.wait(RETRY_PAUSE_S)
             return self._reread(after)
 
@@ -55,7 +55,7 @@
         try:
             listing = self.store.listing(records.JOB_PREFIX)
         except surroundings.CallFailed as exc:
-            events.emit(events.STORE_LOST, reason=f"inbox: {exc}")
+            events.emit(events.STORE_UNREACHABLE, reason=f"inbox: {exc}")
             self.over.wait(RETRY_PAUSE_S)
             return after
         for item in listing.items:
@@ -68,7 +68,7 @@
         """Take up a job, and log it if it is new."""
         job = self.add_job(item)
         if job is not None:
-            events.emit(events.JOB_SEEN, job=job.job_id, queue=job.queue,
+            events.emit(events.JOB_PICKED_UP, job=job.job_id, queue=job.queue,
                         revision=item.created)
 
     def add_job(self, item: messages.Item) -> messages.Job | None:
--- a/sycamorefield/fleet/link.py
+++ b/sycamorefield/fleet/link.py
@@ -102,7 +102,8 @@
             target()
         except Exception as exc:
             events.emit(events.THREAD_FAILED, reason=repr(exc),
-                        where=events.place(exc), worker=self.worker_id)
+                        where=events.error_location(exc),
+                        worker=self.worker_id)
             self.deposed("unexpected error")
 
     def close(self) -> None:
--- a/sycamorefield/fleet/operatorview.py
+++ b/sycamorefield/fleet/operatorview.py
@@ -78,13 +78,13 @@
         self.answered_at = clock.now()
         if not self.reachable:
             self.reachable = True
-            events.emit(events.STORE_REGAINED)
+            events.emit(events.STORE_REACHABLE)
 
     def _lost(self, reason: str) -> None:
         if self.reachable:
             self.reachable = False
             self.owner_known = False
-            events.emit(events.STORE_LOST, reason=reason)
+            events.emit(events.STORE_UNREACHABLE, reason=reason)
 
     def _apply(self, key: str, item: messages.Item) -> None:
         if key != self.config_key or item.revision <= self.config_revision:
--- a/sycamorefield/fleet/owner.py
+++ b/sycamorefield/fleet/owner.py
@@ -175,7 +175,7 @@
             target()
         except Exception as exc:
             events.emit(events.THREAD_FAILED, reason=repr(exc),
-                        where=events.place(exc))
+                        where=events.error_location(exc))
             self.step_down("unexpected error")
 
     def _ask_advice(self) -> None:
@@ -187,7 +187,7 @@
             try:
                 return self.recovery.load()
             except surroundings.CallFailed as exc:
-                events.emit(events.STORE_LOST, reason=str(exc))
+                events.emit(events.STORE_UNREACHABLE, reason=str(exc))
                 self.over.wait(RETRY_PAUSE_S)
         return None
 
@@ -201,7 +201,7 @@
             try:
                 self.roster.take_entries(self.worker_list.workers(), began)
             except surroundings.CallFailed as exc:
-                events.emit(events.STORE_LOST, reason=f"workers: {exc}")
+                events.emit(events.STORE_UNREACHABLE, reason=f"workers: {exc}")
                 # With an old list nothing may be started.
                 pause_s = ROSTER_RETRY_S
             self.roster.close_gone()
--- a/sycamorefield/fleet/ownership.py
+++ b/sycamorefield/fleet/ownership.py
@@ -63,7 +63,7 @@
             try:
                 fence = self._claim()
             except surroundings.CallFailed as exc:
-                events.emit(events.STORE_LOST, reason=f"claim: {exc}")
+                events.emit(events.STORE_UNREACHABLE, reason=f"claim: {exc}")
                 self.stopped.wait(RETRY_PAUSE_S)
                 continue
             if fence:
@@ -146,7 +146,7 @@
             except surroundings.LeaseEnded:
                 owner.step_down("lease ended")
             except surroundings.CallFailed as exc:
-                events.emit(events.STORE_LOST, reason=f"renewal: {exc}")
+                events.emit(events.STORE_UNREACHABLE, reason=f"renewal: {exc}")
 
     def _check(self, owner: owner_mod.Owner) -> None:
         """Step down when the key is seen to be gone or another's."""
@@ -170,7 +170,7 @@
         try:
             item = self.store.get(records.OWNER_KEY)
         except surroundings.CallFailed as exc:
-            events.emit(events.STORE_LOST, reason=f"owner's key: {exc}")
+            events.emit(events.STORE_UNREACHABLE, reason=f"owner's key: {exc}")
             return False
         self.view.owner_read(item)
         if item is not None and item.revision == owner.fence:
@@ -187,7 +187,7 @@
             events.emit(events.OWNERSHIP_RELEASED, fence=fence)
         except (surroundings.CallFailed, surroundings.Conflict,
                 surroundings.LeaseEnded) as exc:
-            events.emit(events.STORE_LOST, reason=f"release: {exc}")
+            events.emit(events.STORE_UNREACHABLE, reason=f"release: {exc}")
 
     def stop(self) -> None:
         """Stop competing; hand the fleet over if this process owns it."""
--- a/sycamorefield/fleet/recovery.py
+++ b/sycamorefield/fleet/recovery.py
@@ -77,7 +77,7 @@
         with self.fleet.lock:
             job_ids = list(self.fleet.active)
         for begin in range(0, len(job_ids), JOBS_PER_LINE):
-            events.emit(events.JOB_SEEN, fence=self.fleet.fence,
+            events.emit(events.JOB_PICKED_UP, fence=self.fleet.fence,
                         jobs=job_ids[begin:begin + JOBS_PER_LINE])
 
     def _take_progress(self, item: messages.Item) -> None:
--- a/sycamorefield/fleet/reports.py
+++ b/sycamorefield/fleet/reports.py
@@ -34,7 +34,7 @@
         # takes in, and a round for each left no time for anything else.
         news = worker.silent or not worker.reported
         if worker.silent:
-            events.emit(events.WORKER_REGAINED, worker=worker_id)
+            events.emit(events.WORKER_RESPONSIVE, worker=worker_id)
             worker.silent = worker.closed = False
         if not worker.reported:
             # The earlier owner may have given leases up to the longest.
--- a/sycamorefield/fleet/rounds.py
+++ b/sycamorefield/fleet/rounds.py
@@ -351,7 +351,7 @@
         state = trial.job
         trial.run = max(state.next_run(task) for task, _ in trial.members)
         saved = max(task.saved for task, _ in trial.members)
-        events.emit(events.TRIAL_BEGUN, runs=[
+        events.emit(events.QUARANTINE_STARTED, runs=[
             (str(task.task), trial.run, worker_id)
             for task, worker_id in trial.members])
         for task, worker_id in trial.members:
--- a/sycamorefield/fleet/state.py
+++ b/sycamorefield/fleet/state.py
@@ -280,7 +280,7 @@
                 return
             worker.silent = True
             worker.silent_at = clock.now()
-            events.emit(events.WORKER_SILENT, worker=worker_id,
+            events.emit(events.WORKER_UNRESPONSIVE, worker=worker_id,
                         runs=len(worker.reserved), reason=reason)
 
     def worker_dead(self, worker_id: str, reason: str) -> None:
@@ -304,7 +304,7 @@
         worker_id = worker.entry.worker_id
         now = clock.now()
         events.emit(
-            events.WORKER_GONE, worker=worker_id, reason=reason,
+            events.WORKER_RUNS_LOST, worker=worker_id, reason=reason,
             rack=worker.entry.rack(), listed=worker.listed,
             draining=worker.entry.draining, lost=len(worker.reserved),
             silent_s=(round(now - worker.silent_at, 3) if worker.silent
@@ -352,7 +352,7 @@
             for worker_id, until in list(self.unheard.items()):
                 if now >= until and alone:
                     del self.unheard[worker_id]
-                    events.emit(events.WORKER_GONE, worker=worker_id,
+                    events.emit(events.WORKER_RUNS_LOST, worker=worker_id,
                                 reason="leases of the earlier owner over")
                     self.changed = True
             if self.changed:
--- a/sycamorefield/fleet/trials.py
+++ b/sycamorefield/fleet/trials.py
@@ -89,7 +89,7 @@
             trial.job.on_trial.pop(task.task, None)
         trial.job.dirty = True
         trial.job.quiet = False
-        events.emit(events.TRIAL_OVER, reason=reason, runs=[
+        events.emit(events.QUARANTINE_ENDED, reason=reason, runs=[
             (str(task.task), trial.run, worker_id)
             for task, worker_id in trial.members])
 
--- a/sycamorefield/metrics.py
+++ b/sycamorefield/metrics.py
@@ -6,7 +6,7 @@
 
 LOWEST_US = 1
 HIGHEST_US = 120_000_000
-DIGITS = 3
+SIGNIFICANT_DIGITS = 3
 PERCENTILES = (50.0, 99.0, 99.9)
 
 
@@ -21,36 +21,37 @@
 
     def record(self, name: str, seconds: float) -> None:
         """Record one latency in seconds under name."""
-        micros = max(LOWEST_US, min(HIGHEST_US, int(seconds * 1e6)))
+        latency_us = max(LOWEST_US, min(HIGHEST_US, int(seconds * 1e6)))
         with self.lock:
             histogram = self.histograms.get(name)
             if histogram is None:
                 histogram = hdrh.histogram.HdrHistogram(LOWEST_US,
-                                                        HIGHEST_US, DIGITS)
+                                                        HIGHEST_US, SIGNIFICANT_DIGITS)
                 self.histograms[name] = histogram
-            histogram.record_value(micros)
+            histogram.record_value(latency_us)
             self.totals[name] = self.totals.get(name, 0.0) + seconds
 
     def summary(self) -> dict[str, dict[str, float]]:
         """Return count and p50/p99/p99.9 in milliseconds per name."""
         with self.lock:
             histograms = sorted(self.histograms.items())
-        found = {}
+        summaries = {}
         for name, histogram in histograms:
             # Whoever records must not wait for all of them.
             with self.lock:
-                found[name] = summarise(histogram)
-        return found
+                summaries[name] = summarise(histogram)
+        return summaries
 
 
 def summarise(histogram: hdrh.histogram.HdrHistogram) -> dict[str, float]:
     """Return count and percentiles in milliseconds of one histogram."""
-    out: dict[str, float] = {"count": histogram.get_total_count()}
-    values = histogram.get_percentile_to_value_dict(PERCENTILES)
-    for pct in PERCENTILES:
-        out[f"p{pct:g}_ms"] = values.get(pct, 0) / 1000.0
-    out["max_ms"] = histogram.get_max_value() / 1000.0
-    return out
+    summary: dict[str, float] = {"count": histogram.get_total_count()}
+    percentiles_us = histogram.get_percentile_to_value_dict(PERCENTILES)
+    for percentile in PERCENTILES:
+        summary[f"p{percentile:g}_ms"] = percentiles_us.get(
+            percentile, 0) / 1000.0
+    summary["max_ms"] = histogram.get_max_value() / 1000.0
+    return summary
 
 
 # Latencies of this process's calls, by kind.
--- a/sycamorefield/platform/front.py
+++ b/sycamorefield/platform/front.py
@@ -58,7 +58,7 @@
             reply = self._answer(path, environ)
         except Exception as exc:
             events.emit(events.THREAD_FAILED, path=path, reason=repr(exc),
-                        where=events.place(exc))
+                        where=events.error_location(exc))
             reply = Reply(500, {"error": "internal error"})
         return self._respond(reply, start_response)
 
--- a/sycamorefield/worker.py
+++ b/sycamorefield/worker.py
@@ -144,7 +144,7 @@
                                   request.declared.accelerators)
         with self.lock:
             if request.fence < self.fence_seen:
-                events.emit(events.FENCE_REFUSED, worker=self.spec.name,
+                events.emit(events.STALE_FENCE_REJECTED, worker=self.spec.name,
                             fence=request.fence, seen=self.fence_seen,
                             owner=request.owner)
                 return pb.TaskReply(accepted=False, reason="stale-fence")
@@ -337,7 +337,7 @@
         now = time.monotonic()
         for task in self.tasks.values():
             if task.state == RUNNING and now > task.lease_until:
-                events.emit(events.TASK_LAPSED, worker=self.spec.name,
+                events.emit(events.TASK_LEASE_EXPIRED, worker=self.spec.name,
                             task=task.task_id, job=task.job_id)
                 self._end(task, LAPSED, ago=now - task.lease_until)
 
--- a/sycamorefield/workerlink.py
+++ b/sycamorefield/workerlink.py
@@ -163,7 +163,7 @@
         self.failures_in_row += 1
         self.shunned_until = time.monotonic() + self.shun_seconds
         self.shun_seconds = min(SHUN_LONGEST, self.shun_seconds * 2)
-        events.emit(events.WORKER_SHUNNED, worker=self.machine.name,
+        events.emit(events.WORKER_EXCLUDED, worker=self.machine.name,
                     failures=self.failures_in_row)
 
     def note_success(self) -> None:
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -6,12 +6,12 @@
 
 from sycamorefield import causes
 from sycamorefield import cli
+from sycamorefield import delays
 from sycamorefield import events
 from sycamorefield import explain
+from sycamorefield import historyreader
+from sycamorefield import jobhistory
 from sycamorefield import logfiles
-from sycamorefield import losses
-from sycamorefield import story as story_mod
-from sycamorefield import storyreader
 from sycamorefield import timeline
 
 JOB = "00000000000000aa"
@@ -21,7 +21,7 @@
 NEXT_STEP = JOB + ".0.1.0"
 OTHERS_TASK = OTHER + ".0.0.0"
 OWNER = "edge-1"
-FRONT = "edge-2"
+ENTRY = "edge-2"
 SUCCESSOR = "edge-3"
 
 
@@ -33,12 +33,12 @@
 
 def stored(at=10.0):
     """Return the line of a front that stored the job."""
-    return line(at, events.JOB_STORED, FRONT, job=JOB, queue="q", reason="")
+    return line(at, events.JOB_STORED, ENTRY, job=JOB, queue="q", reason="")
 
 
 def seen(at=10.0, process=OWNER):
     """Return the line of an owner that took up the job."""
-    return line(at, events.JOB_SEEN, process, job=JOB, queue="q", revision=5)
+    return line(at, events.JOB_PICKED_UP, process, job=JOB, queue="q", revision=5)
 
 
 def ordered(at, *rows, process=OWNER):
@@ -75,20 +75,20 @@
                 workers=2, unheard=0)
 
 
-def collect(*texts):
+def read_history(*texts):
     """Return the job's story in these lines."""
-    return storyreader.collect(logfiles.gather(texts).lines, JOB)
+    return historyreader.read_history(logfiles.parse_all(texts).lines, JOB)
 
 
 # Reading
 
-PLAIN = stored(10.0)
+JOB_STORED_LINE = stored(10.0)
 
 
 @pytest.mark.parametrize("text, at, process", [
-    (PLAIN, 10.0, FRONT),
-    ("  -15.0186 edge-9 " + PLAIN, -15.0186, "edge-9"),
-    ("   4.5 edge-9 " + PLAIN + "\n", 4.5, "edge-9"),
+    (JOB_STORED_LINE, 10.0, ENTRY),
+    ("  -15.0186 edge-9 " + JOB_STORED_LINE, -15.0186, "edge-9"),
+    ("   4.5 edge-9 " + JOB_STORED_LINE + "\n", 4.5, "edge-9"),
     (json.dumps({"t": 3, "event": "SF1001"}), 3.0, ""),
 ])
 def test_lines_are_read_plain_or_as_printed(text, at, process):
@@ -99,8 +99,8 @@
 @pytest.mark.parametrize("text", [
     "built in 0.3 s; 12684 lines in 94 files",
     "   6.317 s to   10.601 s  platform_lost (late)",
-    PLAIN[:-5],
-    "  1.5 edge-9 " + PLAIN[:-5],
+    JOB_STORED_LINE[:-5],
+    "  1.5 edge-9 " + JOB_STORED_LINE[:-5],
     "[1, 2]",
     "17",
     json.dumps({"t": "3", "event": "SF1001"}),
@@ -109,9 +109,9 @@
     json.dumps({"t": 3.0, "event": 1810}),
 ])
 def test_what_is_no_log_line_is_skipped_and_counted(text):
-    reading = logfiles.gather(["", PLAIN, text, "\n"])
+    reading = logfiles.parse_all(["", JOB_STORED_LINE, text, "\n"])
     assert len(reading.lines) == 1
-    assert reading.skipped == 1
+    assert reading.skipped_lines == 1
 
 
 @pytest.mark.parametrize("texts, times", [
@@ -120,7 +120,7 @@
      [60.0, 65.0, 70.0]),
 ])
 def test_lines_come_in_order_of_one_clock(texts, times):
-    assert [line.at for line in logfiles.gather(texts).lines] == times
+    assert [line.at for line in logfiles.parse_all(texts).lines] == times
 
 
 def test_files_and_all_files_of_folders_are_read(tmp_path):
@@ -132,7 +132,7 @@
     single.write_text(final(1.0) + "\n")
     reading = logfiles.read([str(single), str(folder)])
     assert [line.at for line in reading.lines] == [1.0, 2.0, 3.0]
-    assert reading.skipped == 1
+    assert reading.skipped_lines == 1
 
 
 # What names a job
@@ -167,15 +167,15 @@
     ({"worker": "i-1"}, None),
 ])
 def test_line_is_narrowed_to_what_names_the_job(fields, kept):
-    narrowed = logfiles.narrowed(
-        logfiles.Line(1.0, OWNER, "SF1816", fields), JOB)
-    assert (narrowed.fields if narrowed else None) == kept
+    filter_for_job = logfiles.filter_for_job(
+        logfiles.LogLine(1.0, OWNER, "SF1816", fields), JOB)
+    assert (filter_for_job.fields if filter_for_job else None) == kept
 
 
 def test_time_line_of_one_job_holds_its_rows_alone():
     texts = [stored(1.0), line(2.0, events.WORKER_JOINED, worker="i-1"),
              "junk", ordered(3.0, OTHERS_ROW, ROW)]
-    lines = timeline.of_job(logfiles.gather(texts).lines, JOB)
+    lines = timeline.filter_lines(logfiles.parse_all(texts).lines, JOB)
     assert [one["event"] for one in lines] == ["SF1810", "SF1816"]
     assert lines[1]["runs"] == [ROW]
     assert OTHER not in timeline.render(lines[1])
@@ -189,7 +189,7 @@
         line(3.0, events.WORKER_JOINED) + "\n{cut\n"
         + line(1.0, events.WORKER_JOINED) + "\n")
     (tmp_path / "b.jsonl").write_text(
-        line(2.0, events.REQUEST_DONE, FRONT, request_id="r1") + "\n")
+        line(2.0, events.REQUEST_DONE, ENTRY, request_id="r1") + "\n")
     (tmp_path / "c.txt").write_text(stored(0.5) + "\n")
     merged = timeline.merge(str(tmp_path), request_id)
     assert [one["t"] for one in merged] == times
@@ -197,91 +197,91 @@
 
 # What each kind of line tells
 
-def first_run(story):
+def first_run(history):
     """Return the first run of the first task."""
-    return story.tasks[TASK].runs[1]
+    return history.tasks[TASK].runs[1]
 
 
 @pytest.mark.parametrize("text, tell, told", [
-    (stored(), lambda s: s.answers,
-     [story_mod.Answer(10.0, FRONT, "stored", "")]),
-    (line(1.0, events.JOB_REFUSED, FRONT, job=JOB, reason="store: gone"),
-     lambda s: s.answers,
-     [story_mod.Answer(1.0, FRONT, "refused", "store: gone")]),
-    (line(1.0, events.JOB_UNCERTAIN, FRONT, job=JOB, reason="no answer"),
-     lambda s: s.answers,
-     [story_mod.Answer(1.0, FRONT, "uncertain", "no answer")]),
-    (line(1.0, events.CANCEL_STORED, FRONT, job=JOB),
-     lambda s: s.cancelled, 1.0),
-    (seen(2.0), lambda s: s.sightings, [story_mod.Sighting(2.0, OWNER)]),
-    (line(2.0, events.JOB_SEEN, jobs=[OTHER, JOB], fence=7),
-     lambda s: s.sightings, [story_mod.Sighting(2.0, OWNER)]),
-    (final(3.0, "failed"), lambda s: s.finals,
-     [story_mod.Final(3.0, OWNER, "failed")]),
+    (stored(), lambda s: s.replies,
+     [jobhistory.SubmissionReply(10.0, ENTRY, "stored", "")]),
+    (line(1.0, events.JOB_REFUSED, ENTRY, job=JOB, reason="store: gone"),
+     lambda s: s.replies,
+     [jobhistory.SubmissionReply(1.0, ENTRY, "refused", "store: gone")]),
+    (line(1.0, events.JOB_UNCERTAIN, ENTRY, job=JOB, reason="no answer"),
+     lambda s: s.replies,
+     [jobhistory.SubmissionReply(1.0, ENTRY, "uncertain", "no answer")]),
+    (line(1.0, events.CANCEL_STORED, ENTRY, job=JOB),
+     lambda s: s.cancelled_at, 1.0),
+    (seen(2.0), lambda s: s.pickups, [jobhistory.Pickup(2.0, OWNER)]),
+    (line(2.0, events.JOB_PICKED_UP, jobs=[OTHER, JOB], fence=7),
+     lambda s: s.pickups, [jobhistory.Pickup(2.0, OWNER)]),
+    (final(3.0, "failed"), lambda s: s.job_ends,
+     [jobhistory.JobEnd(3.0, OWNER, "failed")]),
     (ordered(3.0, OTHERS_ROW, ROW), lambda s: list(s.tasks), [TASK]),
-    (ordered(3.0, ROW), lambda s: first_run(s).ordered, 3.0),
+    (ordered(3.0, ROW), lambda s: first_run(s).ordered_at, 3.0),
     (line(3.0, events.RUN_ORDERED, task=TASK, run=1, worker="i-1"),
-     lambda s: first_run(s).ordered, 3.0),
+     lambda s: first_run(s).ordered_at, 3.0),
     (ended(4.0, "lapsed", ROW),
-     lambda s: (first_run(s).over, first_run(s).how), (4.0, "lapsed")),
+     lambda s: (first_run(s).ended_at, first_run(s).outcome), (4.0, "lapsed")),
     (line(4.0, events.RUN_ENDED, task=TASK, run=1, worker="i-1", how="done"),
-     lambda s: (first_run(s).over, first_run(s).how), (4.0, "done")),
+     lambda s: (first_run(s).ended_at, first_run(s).outcome), (4.0, "done")),
     (line(4.0, events.RUN_REJECTED, task=TASK, run=1, worker="i-1",
           reason="no room"),
-     lambda s: (first_run(s).over, first_run(s).how), (4.0, "rejected")),
+     lambda s: (first_run(s).ended_at, first_run(s).outcome), (4.0, "rejected")),
     (line(4.0, events.RUN_VANISHED, task=TASK, run=1, worker="i-1"),
-     lambda s: (first_run(s).over, first_run(s).how), (4.0, "vanished")),
-    (line(4.0, events.WORKER_GONE, worker="i-1", reason="lease over",
+     lambda s: (first_run(s).ended_at, first_run(s).outcome), (4.0, "vanished")),
+    (line(4.0, events.WORKER_RUNS_LOST, worker="i-1", reason="lease over",
           lost=2, runs=[[OTHERS_TASK, 1, 0.5], [TASK, 1, None]]),
-     lambda s: (first_run(s).over, first_run(s).how),
-     (4.0, story_mod.LOST)),
+     lambda s: (first_run(s).ended_at, first_run(s).outcome),
+     (4.0, jobhistory.LOST)),
     (line(4.0, events.RUN_UNCERTAIN, task=TASK, run=1, worker="i-1",
           reason="no answer: timed out"),
-     lambda s: first_run(s).unanswered, 4.0),
+     lambda s: first_run(s).unanswered_at, 4.0),
     (line(4.0, events.RUN_UNCERTAIN, task=TASK, run=1, worker="i-1",
           reason="pace got no answer"),
-     lambda s: first_run(s).unanswered, None),
+     lambda s: first_run(s).unanswered_at, None),
     (line(4.0, events.RUN_STOPPED, task=TASK, run=1, worker="i-1",
           reason="little progress here"),
-     lambda s: first_run(s).told_to_stop, "little progress here"),
+     lambda s: first_run(s).stop_reason, "little progress here"),
     (line(4.0, events.RUN_STOPPED, task=OTHERS_TASK, run=1, worker="i-1",
           reason="room for " + TASK), lambda s: s.tasks, {}),
     (line(4.0, events.PACE_CHANGED, worker="i-1", worst=1.2,
           changes=[[TASK, 1, "img", 40, 100], [OTHERS_TASK, 1, "x", 0, 9]]),
-     lambda s: first_run(s).paces, [(4.0, 40.0)]),
+     lambda s: first_run(s).pace_changes, [(4.0, 40.0)]),
     (line(4.0, events.PACE_CHANGED, task=TASK, run=1, worker="i-1", pace=40),
-     lambda s: first_run(s).paces, [(4.0, 40.0)]),
+     lambda s: first_run(s).pace_changes, [(4.0, 40.0)]),
     (line(4.0, events.ADVICE_GIVEN, step=JOB + ".0.0", asked=3, good=1),
      lambda s: s.tasks, {}),
 ])
 def test_each_line_on_the_job_is_taken_in(text, tell, told):
-    story = collect(text)
-    assert tell(story) == told
-    assert story.unreadable == 0
+    history = read_history(text)
+    assert tell(history) == told
+    assert history.invalid_lines == 0
 
 
 @pytest.mark.parametrize("texts, tell, told", [
     ([usage(5.0, 900.0, 1.5, 2.0, 3)], lambda s: s.usages,
-     [story_mod.Usage(5.0, 1000.0, 900.0, 1.5, 7, 3, 2.0, 0.5)]),
+     [jobhistory.FleetUsage(5.0, 1000.0, 900.0, 1.5, 7, 3, 2.0, 0.5)]),
     ([claimed(5.0), recovered(5.5)],
-     lambda s: [(o.claimed, o.ready, o.over) for o in s.ownerships],
+     lambda s: [(o.claimed_at, o.ready_at, o.ended_at) for o in s.ownerships],
      [(5.0, 5.5, None)]),
     ([claimed(5.0), line(6.0, events.OWNERSHIP_LOST, reason="fenced")],
-     lambda s: [(o.over, o.reason) for o in s.ownerships],
+     lambda s: [(o.ended_at, o.reason) for o in s.ownerships],
      [(6.0, "fenced")]),
     ([claimed(5.0), line(6.0, events.OWNERSHIP_RELEASED, fence=7)],
-     lambda s: [o.over for o in s.ownerships], [6.0]),
-    ([line(6.0, events.STORE_LOST, reason="timed out")],
-     lambda s: s.store_losses, [story_mod.StoreLoss(6.0, OWNER)]),
+     lambda s: [o.ended_at for o in s.ownerships], [6.0]),
+    ([line(6.0, events.STORE_UNREACHABLE, reason="timed out")],
+     lambda s: s.store_outages, [jobhistory.StoreOutage(6.0, OWNER)]),
     ([ordered(5.0, OTHERS_ROW), usage(7.0)],
-     lambda s: [(o.claim_logged, o.claimed, o.last_act)
+     lambda s: [(o.claim_logged, o.claimed_at, o.last_active_at)
                 for o in s.ownerships], [(False, 5.0, 7.0)]),
     ([claimed(5.0), line(6.0, events.OWNERSHIP_LOST, reason="fenced"),
       ordered(7.0, OTHERS_ROW)],
-     lambda s: [o.last_act for o in s.ownerships], [5.0]),
+     lambda s: [o.last_active_at for o in s.ownerships], [5.0]),
 ])
 def test_each_line_on_the_fleet_is_taken_in(texts, tell, told):
-    assert tell(collect(stored(1.0), *texts)) == told
+    assert tell(read_history(stored(1.0), *texts)) == told
 
 
 @pytest.mark.parametrize("text", [
@@ -291,27 +291,27 @@
     line(3.0, events.RUN_REJECTED, task=TASK, worker="i-1"),
     line(3.0, events.RUN_STOPPED, task=JOB + ".0.x.0", run=1, worker="i-1"),
     line(3.0, events.PACE_CHANGED, worker="i-1", changes=[[TASK, 1]]),
-    line(3.0, events.WORKER_GONE, worker="i-1", runs=[[TASK, 1]]),
+    line(3.0, events.WORKER_RUNS_LOST, worker="i-1", runs=[[TASK, 1]]),
     line(3.0, events.PACE_CHANGED, worker="i-1",
          changes=[[JOB + ".0.x.0", 1, "img", 0, 100]]),
     line(3.0, events.JOB_ENDED, job=JOB, state=None),
     line(3.0, events.FLEET_USAGE, capacity_cores="many"),
 ])
 def test_line_that_lacks_what_belongs_in_it_is_counted(text):
-    story = collect(stored(1.0), text)
-    assert story.unreadable == 1
-    assert "1 lines lack" in "\n".join(explain.render(story))
+    history = read_history(stored(1.0), text)
+    assert history.invalid_lines == 1
+    assert "1 lines lack" in "\n".join(explain.render(history))
 
 
 def test_first_end_of_a_run_counts_as_its_next_owner_logs_it_again():
-    story = collect(stored(1.0), ended(4.0, "done", ROW),
-                    ended(5.0, "done", ROW, process=SUCCESSOR))
-    assert first_run(story).over == 4.0
+    history = read_history(stored(1.0), ended(4.0, "done", ROW),
+                           ended(5.0, "done", ROW, process=SUCCESSOR))
+    assert first_run(history).ended_at == 4.0
 
 
 def test_job_without_a_line_has_no_story():
-    assert collect(ordered(3.0, OTHERS_ROW), claimed(1.0)) is None
-    assert collect() is None
+    assert read_history(ordered(3.0, OTHERS_ROW), claimed(1.0)) is None
+    assert read_history() is None
 
 
 # Causes
@@ -319,23 +319,23 @@
 START = [claimed(0.0), recovered(0.1), usage(9.9), stored(10.0), seen(10.01)]
 
 
-def run_of(number, worker="i-1", task=TASK):
+def run_row(number, worker="i-1", task=TASK):
     """Return a row of a run."""
     return [task, number, worker]
 
 
 @pytest.mark.parametrize("texts, told", [
     pytest.param(
-        [line(1.0, events.JOB_REFUSED, FRONT, job=JOB,
+        [line(1.0, events.JOB_REFUSED, ENTRY, job=JOB,
               reason="store: store does not answer")],
         ["refused by edge-2: store: store does not answer"], id="refused"),
     pytest.param(
-        [line(1.0, events.JOB_UNCERTAIN, FRONT, job=JOB, reason="timed out"),
-         line(2.0, events.JOB_REFUSED, FRONT, job=JOB, reason="silent")],
+        [line(1.0, events.JOB_UNCERTAIN, ENTRY, job=JOB, reason="timed out"),
+         line(2.0, events.JOB_REFUSED, ENTRY, job=JOB, reason="silent")],
         ["no sure answer", "probably wasn't stored: timed out"],
         id="uncertain"),
     pytest.param(
-        [line(8.0, events.JOB_UNCERTAIN, FRONT, job=JOB, reason="timed out"),
+        [line(8.0, events.JOB_UNCERTAIN, ENTRY, job=JOB, reason="timed out"),
          claimed(0.0), recovered(0.1), stored(10.0), seen(10.0),
          ordered(10.1, ROW), ended(10.5, "done", ROW), final(10.5)],
         ["not known to be stored for 2.00 s", "timed out"], id="store late"),
@@ -367,7 +367,7 @@
     # An owner cut off from the store acted on while it saw no new jobs.
     pytest.param(
         [claimed(0.0), recovered(0.1), stored(10.0),
-         line(10.5, events.STORE_LOST, reason="timed out"), usage(11.9),
+         line(10.5, events.STORE_UNREACHABLE, reason="timed out"), usage(11.9),
          claimed(12.0, SUCCESSOR), seen(12.1, SUCCESSOR),
          line(12.2, events.OWNERSHIP_LOST, reason="fenced"),
          recovered(12.2, SUCCESSOR), ordered(12.3, ROW, process=SUCCESSOR),
@@ -380,8 +380,8 @@
         [*START, ordered(10.1, ROW), ended(10.2, "failed", ROW),
          line(10.3, events.OWNERSHIP_LOST, reason="lease ended"),
          claimed(13.0, SUCCESSOR), recovered(13.1, SUCCESSOR),
-         ordered(13.2, run_of(1001), process=SUCCESSOR),
-         ended(13.5, "done", run_of(1001), process=SUCCESSOR),
+         ordered(13.2, run_row(1001), process=SUCCESSOR),
+         ended(13.5, "done", run_row(1001), process=SUCCESSOR),
          final(13.5, process=SUCCESSOR)],
         ["waited 2.90 s without an owner", "edge-3",
          "edge-1 lost it at 10.300: lease ended"],
@@ -416,10 +416,10 @@
          final(13.0)],
         ["waited 2.49 s to be placed", "no SF1834 near"], id="no usage"),
     pytest.param(
-        [*START, ordered(10.1, ROW, run_of(1, "i-2", SECOND)),
-         ended(10.6, "done", ROW, run_of(1, "i-2", SECOND)),
-         ordered(13.0, run_of(1, "i-3", NEXT_STEP)),
-         ended(13.1, "done", run_of(1, "i-3", NEXT_STEP)), final(13.1)],
+        [*START, ordered(10.1, ROW, run_row(1, "i-2", SECOND)),
+         ended(10.6, "done", ROW, run_row(1, "i-2", SECOND)),
+         ordered(13.0, run_row(1, "i-3", NEXT_STEP)),
+         ended(13.1, "done", run_row(1, "i-3", NEXT_STEP)), final(13.1)],
         ["waited 2.49 s to be placed", "10.600 to 13.000"],
         id="second step waits"),
     pytest.param(
@@ -437,8 +437,8 @@
               reason="no answer: timed out"),
          line(11.6, events.RUN_STOPPED, task=TASK, run=1, worker="i-1",
               reason="start got no answer"),
-         ended(12.0, "stopped", ROW), ordered(12.1, run_of(2, "i-2")),
-         ended(12.5, "done", run_of(2, "i-2")), final(12.5)],
+         ended(12.0, "stopped", ROW), ordered(12.1, run_row(2, "i-2")),
+         ended(12.5, "done", run_row(2, "i-2")), final(12.5)],
         ["1 order got no answer, which took 1.90 s in all, on i-1"],
         id="order uncertain"),
     pytest.param(
@@ -448,35 +448,35 @@
         ["1 order got no answer", "on i-1"], id="order uncertain, open"),
     pytest.param(
         [*START, ordered(10.1, ROW), ended(11.0, "failed", ROW),
-         ordered(11.1, run_of(2, "i-2")),
-         ended(12.0, "failed", run_of(2, "i-2")),
-         ordered(12.1, run_of(3, "i-3")),
-         ended(12.5, "done", run_of(3, "i-3")), final(12.5)],
+         ordered(11.1, run_row(2, "i-2")),
+         ended(12.0, "failed", run_row(2, "i-2")),
+         ordered(12.1, run_row(3, "i-3")),
+         ended(12.5, "done", run_row(3, "i-3")), final(12.5)],
         ["2 runs failed, after 1.80 s in all, on i-1, i-2"],
         id="runs failed"),
     pytest.param(
         [*START, ordered(10.1, ROW), ended(14.0, "lapsed", ROW),
-         ordered(14.1, run_of(2, "i-2")),
-         ended(14.5, "done", run_of(2, "i-2")), final(14.5)],
+         ordered(14.1, run_row(2, "i-2")),
+         ended(14.5, "done", run_row(2, "i-2")), final(14.5)],
         ["1 run lapsed, after 3.90 s in all, on i-1"], id="run lapsed"),
     pytest.param(
         [*START, ordered(10.1, ROW),
          line(12.1, events.RUN_REJECTED, task=TASK, run=1, worker="i-1",
               reason="no lease may be given"),
-         ordered(12.2, run_of(2, "i-2")),
-         ended(12.5, "done", run_of(2, "i-2")), final(12.5)],
+         ordered(12.2, run_row(2, "i-2")),
+         ended(12.5, "done", run_row(2, "i-2")), final(12.5)],
         ["1 run rejected, after 2.00 s"], id="order rejected"),
     pytest.param(
-        [*START, ordered(10.1, ROW), ordered(13.0, run_of(2, "i-2")),
-         ended(13.5, "done", run_of(2, "i-2")), final(13.5)],
+        [*START, ordered(10.1, ROW), ordered(13.0, run_row(2, "i-2")),
+         ended(13.5, "done", run_row(2, "i-2")), final(13.5)],
         ["1 run without a report of an end, after 2.90 s"],
         id="run without end"),
     pytest.param(
         [*START, ordered(10.1, ROW),
          line(12.1, events.RUN_STOPPED, task=TASK, run=1, worker="i-1",
               reason="room for " + OTHERS_TASK),
-         ended(12.2, "stopped", ROW), ordered(12.3, run_of(2, "i-2")),
-         ended(12.5, "done", run_of(2, "i-2")), final(12.5)],
+         ended(12.2, "stopped", ROW), ordered(12.3, run_row(2, "i-2")),
+         ended(12.5, "done", run_row(2, "i-2")), final(12.5)],
         ["1 run stopped to make room for more urgent tasks, after 2.10 s"],
         id="preempted"),
     pytest.param(
@@ -493,18 +493,18 @@
               changes=[[*ROW[:2], "img", 0, 100]]),
          line(12.2, events.RUN_STOPPED, task=TASK, run=1, worker="i-1",
               reason="little progress here"),
-         ended(12.2, "stopped", ROW), ordered(12.3, run_of(2, "i-2")),
-         ended(12.5, "done", run_of(2, "i-2")), final(12.5)],
+         ended(12.2, "stopped", ROW), ordered(12.3, run_row(2, "i-2")),
+         ended(12.5, "done", run_row(2, "i-2")), final(12.5)],
         ["paces down to 0% cost 2.00 s on i-1"], id="slowed and moved"),
     pytest.param(
         [*START, *(text for number in range(1, 5) for text in (
-            ordered(10.0 + number, run_of(number, f"i-{number}")),
-            ended(10.5 + number, "failed", run_of(number, f"i-{number}")))),
+            ordered(10.0 + number, run_row(number, f"i-{number}")),
+            ended(10.5 + number, "failed", run_row(number, f"i-{number}")))),
          final(14.5, "failed")],
         ["failed for good 4.50 s after", "task 0.0.0 failed 4 times, on "
          "i-1, i-2, i-3, i-4"], id="failed"),
     pytest.param(
-        [*START, ordered(10.1, ROW), line(10.5, events.CANCEL_STORED, FRONT,
+        [*START, ordered(10.1, ROW), line(10.5, events.CANCEL_STORED, ENTRY,
                                           job=JOB),
          final(10.6, "cancelled"),
          line(10.6, events.RUN_STOPPED, task=TASK, run=1, worker="i-1",
@@ -525,7 +525,7 @@
          "no wait"], id="goes on"),
 ])
 def test_cause_is_told(texts, told):
-    cause = causes.cause(collect(*texts))
+    cause = causes.likely_cause(read_history(*texts))
     for part in told:
         assert part in cause
 
@@ -541,29 +541,30 @@
       recovered(8.1, SUCCESSOR)], [(1.0, 5.5)]),
 ])
 def test_time_without_an_owner(texts, gaps):
-    assert losses.ownerless(collect(stored(1.0), *texts)) == gaps
+    assert delays.periods_without_owner(
+        read_history(stored(1.0), *texts)) == gaps
 
 
 def test_of_tasks_that_go_on_the_one_that_lost_most_counts():
-    story = collect(
-        *START, ordered(10.1, run_of(1, "i-1"), run_of(1, "i-2", SECOND)),
-        ended(20.0, "lapsed", run_of(1, "i-2", SECOND)),
-        ordered(20.1, run_of(2, "i-3", SECOND)), usage(30.0))
-    assert "1 run lapsed" in causes.cause(story)
+    history = read_history(
+        *START, ordered(10.1, run_row(1, "i-1"), run_row(1, "i-2", SECOND)),
+        ended(20.0, "lapsed", run_row(1, "i-2", SECOND)),
+        ordered(20.1, run_row(2, "i-3", SECOND)), usage(30.0))
+    assert "1 run lapsed" in causes.likely_cause(history)
 
 
 def test_explanation_tells_each_part():
-    story = collect(
-        *START, ordered(10.5, ROW, run_of(1, "i-2", SECOND)),
+    history = read_history(
+        *START, ordered(10.5, ROW, run_row(1, "i-2", SECOND)),
         ended(11.0, "failed", ROW),
         line(12.0, events.OWNERSHIP_LOST, reason="fenced"),
         claimed(12.5, SUCCESSOR), seen(12.6, SUCCESSOR),
         recovered(12.7, SUCCESSOR),
-        ordered(13.0, run_of(1001, "i-3"), process=SUCCESSOR),
-        ended(13.5, "done", run_of(1, "i-2", SECOND), process=SUCCESSOR),
-        ended(14.0, "done", run_of(1001, "i-3"), process=SUCCESSOR),
+        ordered(13.0, run_row(1001, "i-3"), process=SUCCESSOR),
+        ended(13.5, "done", run_row(1, "i-2", SECOND), process=SUCCESSOR),
+        ended(14.0, "done", run_row(1001, "i-3"), process=SUCCESSOR),
         final(14.0, process=SUCCESSOR))
-    assert explain.render(story) == [
+    assert explain.render(history) == [
         f"job {JOB} (queue q)",
         "  handed in  10.000 at edge-2, stored",
         "  taken up   10.010 (+0.010 s) by edge-1",
@@ -581,22 +582,22 @@
 
 
 def test_cancellation_is_told():
-    told = explain.render(collect(*START, line(
-        10.5, events.CANCEL_STORED, FRONT, job=JOB), final(10.6, "cancelled")))
+    told = explain.render(read_history(*START, line(
+        10.5, events.CANCEL_STORED, ENTRY, job=JOB), final(10.6, "cancelled")))
     assert "  cancelled  10.500 (+0.500 s) by its caller" in told
 
 
 def test_long_lists_are_cut_short():
     answers = [stored(10.0 + number) for number in range(9)]
-    told = explain.render(collect(*answers))
-    assert sum("handed in" in text for text in told) == explain.MOST_LINES
+    told = explain.render(read_history(*answers))
+    assert sum("handed in" in text for text in told) == explain.MAX_LINES_PER_KIND
     assert any(text.strip() == "and 3 more" for text in told)
 
 
 # The command line
 
 @pytest.fixture(name="log")
-def fixture_log(tmp_path):
+def fixture_log_path(tmp_path):
     """Write a log as printed, with a line that is none."""
     path = tmp_path / "day.log"
     texts = [stored(10.0), seen(10.0), ordered(10.1, ROW, OTHERS_ROW),
--- a/tests/test_fleet_usage.py
+++ b/tests/test_fleet_usage.py
@@ -247,11 +247,11 @@
     try:
         test_fleet_takeover.wait_for(lambda: owner.recovered)
         seen = [fields["jobs"] for event, fields in lines
-                if event is events.JOB_SEEN]
+                if event is events.JOB_PICKED_UP]
         fleet.submit(fleetfakes.job("new"))
         test_fleet_takeover.wait_for(
             lambda: [fields["job"] for event, fields in lines
-                     if event is events.JOB_SEEN and "job" in fields]
+                     if event is events.JOB_PICKED_UP and "job" in fields]
             == ["new"])
     finally:
         owner.step_down("test over")
