--- a/sycamorefield/checks.py
+++ b/sycamorefield/checks.py
@@ -1,11 +1,11 @@
-"""Check a run's time line against what must always hold.
-
-Processes assert what they alone can see as it happens (a worker its
-capacity, a backend its repeated keys and leaving grace) and log a numbered
-INVARIANT_BROKEN event.  What only the whole run shows is checked here over
-the merged time line: a job running in two places, an evicted job resumed
-more or less than once, a rule revision going back.  Every finding is
-collected with its place and reported together.
+"""Check the invariants of a deployment over its merged time line.
+
+Processes check what they alone can see while it happens (a worker its
+capacity, a backend repeated keys and the grace period for leaving) and log
+INVARIANT_BROKEN events. The checks here need the events of all processes: a
+job that runs in two places, an evicted job that isn't resumed exactly once
+from its checkpoint, a rule revision that goes back. All findings are reported
+together, each with its process and time.
 """
 
 import collections
@@ -14,13 +14,14 @@
 from sycamorefield import errors
 from sycamorefield import events
 
+# Tolerated difference between the clocks of machines.
 CLOCK_TOLERANCE_S = 0.05
 PROGRESS_TOLERANCE = 0.01
 
 
 @dataclasses.dataclass
 class Interval:
-    """A task's time on a worker, from the worker's own events."""
+    """The time in which a worker ran a task, from the worker's events."""
 
     job: str
     task: str
@@ -37,7 +38,7 @@
 
 
 def intervals(lines: list[dict]) -> list[Interval]:
-    """Return every task's interval on its worker."""
+    """Return the interval of every task, those without an end last."""
     open_tasks: dict[tuple[str, str], Interval] = {}
     closed = []
     for line in lines:
@@ -49,8 +50,8 @@
         elif line.get("event") == events.TASK_ENDED.code:
             interval = open_tasks.pop(key, None)
             if interval is not None:
-                # A lapsed lease ended the task when it ran out, which a
-                # frozen worker logs only once it wakes.
+                # A task whose lease expired ended at that time, but a frozen
+                # worker logs the end only when it goes on.
                 interval.ended_at = line.get("ended_at", line["t"])
                 interval.state = line.get("state", "")
                 interval.end_progress = line.get("progress", 0.0)
@@ -71,18 +72,19 @@
 def _group_by_job(task_intervals: list[Interval]
                   ) -> list[tuple[str, list[Interval]]]:
     by_job = collections.defaultdict(list)
-    for interval in sorted(task_intervals, key=lambda s: s.began_at):
+    for interval in sorted(task_intervals, key=lambda item: item.began_at):
         by_job[interval.job].append(interval)
     return sorted(by_job.items())
 
 
 def _find_overlapping_runs(task_intervals: list[Interval],
-                           worker_losses: "WorkerLosses") -> list[errors.Finding]:
+                           worker_losses: "WorkerLosses"
+                           ) -> list[errors.Finding]:
     findings = []
     for job, runs in _group_by_job(task_intervals):
         for first, second in zip(runs, runs[1:]):
             end = (first.ended_at if first.ended_at is not None
-                   else worker_losses.certainly_over_at(first))
+                   else worker_losses.ended_by(first))
             if second.began_at + CLOCK_TOLERANCE_S < end:
                 findings.append(errors.Finding(
                     f"{second.worker}@{second.began_at:.3f}",
@@ -93,11 +95,11 @@
 
 @dataclasses.dataclass
 class WorkerLosses:
-    """When workers were restarted or counted as lost, and what was known.
+    """Times of losses and restarts of workers, and of recorded outcomes.
 
-    What a worker alone knew is gone with it: a checkpoint no owner could
-    reach, an outcome no owner had recorded.  Running that job again from
-    what was recorded is then right, not a breach.
+    A checkpoint that no owner could read and an outcome that no owner had
+    recorded are lost with their worker. Running the job again from what was
+    recorded is then correct.
     """
 
     lost_at: dict[str, list[float]]
@@ -118,18 +120,19 @@
                 outcome_recorded_at.setdefault(line["task"], line["t"])
         return cls(lost_at, outcome_recorded_at)
 
-    def certainly_over_at(self, interval: Interval) -> float:
-        """Return when a task that logged no end was gone, at the latest.
+    def ended_by(self, interval: Interval) -> float:
+        """Return the latest time at which a task without a logged end ran.
 
         Only a killed worker logs no end; one that is cut off or frozen
-        logs the lapse of its tasks' leases.
+        logs that the leases of its tasks expired.
         """
         return min((t for t in self.lost_at.get(interval.worker, ())
                     if t > interval.began_at), default=float("inf"))
 
-    def may_repeat(self, first: Interval, second: Interval) -> bool:
-        """Return whether first's end was lost before second began."""
-        if self.outcome_recorded_at.get(first.task, second.began_at) < second.began_at:
+    def allows_rerun(self, first: Interval, second: Interval) -> bool:
+        """Return whether first's outcome was lost before second began."""
+        if self.outcome_recorded_at.get(
+                first.task, second.began_at) < second.began_at:
             return False
         return any(first.began_at < t <= second.began_at
                    for t in self.lost_at.get(first.worker, ()))
@@ -140,9 +143,9 @@
     findings = []
     for job, runs in _group_by_job(task_intervals):
         for first, second in zip(runs, runs[1:]):
-            if worker_losses.may_repeat(first, second):
+            if worker_losses.allows_rerun(first, second):
                 continue
-            # A task that failed saved nothing past where it began.
+            # A failed task saves no progress beyond that at its start.
             checkpoint = (first.start_progress if first.state == "failed"
                           else first.end_progress)
             if second.start_progress + PROGRESS_TOLERANCE < checkpoint:
@@ -173,19 +176,19 @@
     return findings
 
 
-def _find_runs_after_not_run_reply(lines: list[dict]) -> list[errors.Finding]:
+def _find_false_not_run_replies(lines: list[dict]) -> list[errors.Finding]:
     not_run_replies = {line["request_id"]: line for line in lines
                        if line.get("event") == events.CALLER_TOLD_NOT_RUN.code}
     return [errors.Finding(
         _location(line), f"request {line['request_id']} ran on "
-        f"{line.get('process')} though its caller was told it did not")
+        f"{line.get('process')} but its caller was told that it did not")
         for line in lines
         if line.get("event") == events.REQUEST_SERVED.code
         and line.get("request_id") in not_run_replies]
 
 
 def _find_outdated_rules(lines: list[dict]) -> list[errors.Finding]:
-    """Find entry processes that ended without the last accepted rules."""
+    """Find entry processes that stopped without the last accepted rules."""
     accepted = max((int(line.get("revision", 0)) for line in lines
                     if line.get("event") == events.RULES_CHANGED.code),
                    default=0)
@@ -198,16 +201,18 @@
         elif line.get("event") == events.PROCESS_STOPPED.code:
             stopped[process] = line
     return [errors.Finding(
-        _location(stopped[process]), f"ended at rules revision {revision}, "
+        _location(stopped[process]), f"stopped at rules revision {revision}, "
         f"not {accepted}") for process, revision in sorted(applied.items())
         if process in stopped and revision < accepted]
 
 
 def check(lines: list[dict]) -> list[errors.Finding]:
-    """Return every finding over a merged time line, in place order."""
+    """Return the findings of all checks over a merged time line."""
     task_intervals = intervals(lines)
     worker_losses = WorkerLosses.from_lines(lines)
-    return (_find_logged_violations(lines) + _find_overlapping_runs(task_intervals, worker_losses)
-            + _find_wrong_resumes(task_intervals, worker_losses) +
-            _find_revision_rollbacks(lines)
-            + _find_runs_after_not_run_reply(lines) + _find_outdated_rules(lines))
+    return (_find_logged_violations(lines)
+            + _find_overlapping_runs(task_intervals, worker_losses)
+            + _find_wrong_resumes(task_intervals, worker_losses)
+            + _find_revision_rollbacks(lines)
+            + _find_false_not_run_replies(lines)
+            + _find_outdated_rules(lines))
--- a/sycamorefield/errors.py
+++ b/sycamorefield/errors.py
@@ -1,4 +1,4 @@
-"""Hold the error codes and messages that callers and operators see."""
+"""Error codes and messages for callers and operators."""
 
 import dataclasses
 
@@ -26,9 +26,9 @@
 OUTCOME_UNKNOWN = Code("outcome-unknown", 504,
                        "request may have run; ask again with the same "
                        "idempotency key")
-JOB_UNKNOWN = Code("outcome-unknown", 504,
-                   "the job may have been accepted; submit it again with "
-                   "the same job_id")
+JOB_OUTCOME_UNKNOWN = Code("outcome-unknown", 504,
+                           "the job may have been accepted; submit it again with "
+                           "the same job_id")
 CANNOT_RUN = Code("cannot-run", 422,
                   "work {name!r} fits no worker of the fleet")
 IN_PROGRESS = Code("in-progress", 409,
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Finding:
-    """One problem found in input, with the place it was found."""
+    """A problem in input or in a time line, and the place of it."""
 
     place: str
     message: str
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Problem:
-    """An error answer: its code, message, findings and when to come back."""
+    """An error reply: code, message, findings and seconds until a retry."""
 
     code: Code
     message: str
@@ -73,5 +73,5 @@
 
 def problem(code: Code, findings: tuple[Finding, ...] = (),
             retry_after: float | None = None, **values: object) -> Problem:
-    """Build a Problem from a code and the values its message names."""
+    """Return a Problem; values fill the placeholders of its message."""
     return Problem(code, code.message.format(**values), findings, retry_after)
--- a/sycamorefield/historyreader.py
+++ b/sycamorefield/historyreader.py
@@ -1,4 +1,4 @@
-"""Collect from log lines what they say of one job and of the fleet."""
+"""Build the history of one job and of its fleet from log lines."""
 
 import typing
 
@@ -28,26 +28,29 @@
 
 
 class _RunsFields(pydantic.BaseModel):
-    """Check the rows of a line; a line of a single run has no list."""
+    """Rows of runs; a line about a single run has its fields instead."""
 
     how: str = ""
+    # Task, run number, worker.
     runs: list[tuple[_TaskName, int, str]]
 
 
 class _LostRunsFields(pydantic.BaseModel):
-    """Check the rows of a worker that is gone, with the ages of its runs."""
+    """Runs lost with a worker, each with its age in seconds if known."""
 
     worker: str
+    # Task, run number, age.
     runs: list[tuple[_TaskName, int, float | None]]
 
 
 class _PaceChangesFields(pydantic.BaseModel):
     worker: str
+    # Task, run number, image, pace and the pace before, in percent.
     changes: list[tuple[_TaskName, int, str, float, float]]
 
 
 class _PaceFields(_RunFields):
-    """Check the pace on a line of a single run."""
+    """The new pace of a single run, in percent."""
 
     pace: float
 
@@ -63,21 +66,23 @@
 
 
 class _HistoryBuilder:
-    """Take in lines in time order."""
+    """Builds a job history from lines that are added in time order."""
 
     def __init__(self, job_id: str) -> None:
         self.history = jobhistory.JobHistory(job_id)
-        self.found = False
-        # What is told of the fleet, by event.
-        self.fleet_handlers: dict[str, typing.Callable[[logfiles.LogLine], None]] = {
+        self.job_found = False
+        # Handlers of lines about the fleet, by event code.
+        self.fleet_handlers: dict[
+            str, typing.Callable[[logfiles.LogLine], None]] = {
             events.OWNERSHIP_CLAIMED.code: self._handle_owner_claim,
             events.FLEET_RECOVERED.code: self._handle_owner_ready,
             events.OWNERSHIP_LOST.code: self._handle_owner_end,
             events.OWNERSHIP_RELEASED.code: self._handle_owner_end,
             events.STORE_UNREACHABLE.code: self._handle_store_outage,
             events.FLEET_USAGE.code: self._handle_usage}
-        # What is told of the job, by event.
-        self.job_handlers: dict[str, typing.Callable[[logfiles.LogLine], None]] = {
+        # Handlers of lines about the job, by event code.
+        self.job_handlers: dict[
+            str, typing.Callable[[logfiles.LogLine], None]] = {
             events.JOB_STORED.code: self._handle_reply,
             events.JOB_REFUSED.code: self._handle_reply,
             events.JOB_UNCERTAIN.code: self._handle_reply,
@@ -94,14 +99,14 @@
             events.PACE_CHANGED.code: self._handle_pace_change}
 
     def add_line(self, line: logfiles.LogLine) -> None:
-        """Take in one line."""
+        """Add what one line says; count it if its fields are invalid."""
         self._note_owner_activity(line)
         try:
             if line.event in self.fleet_handlers:
                 self.fleet_handlers[line.event](line)
             job_line = logfiles.filter_for_job(line, self.history.job_id)
             if job_line is not None:
-                self.found = True
+                self.job_found = True
                 self.job_handlers.get(line.event, _ignore)(job_line)
         except pydantic.ValidationError:
             self.history.invalid_lines += 1
@@ -113,11 +118,11 @@
                for ownership in self.history.ownerships):
             self.history.ownerships.append(jobhistory.Ownership(
                 line.process, line.at, ready_at=line.at, claim_logged=False))
-        ownership = self._ownership(line.process)
+        ownership = self._current_ownership(line.process)
         if ownership is not None:
             ownership.last_active_at = line.at
 
-    def _ownership(self, process: str) -> jobhistory.Ownership | None:
+    def _current_ownership(self, process: str) -> jobhistory.Ownership | None:
         for ownership in reversed(self.history.ownerships):
             if ownership.process == process:
                 return ownership if ownership.ended_at is None else None
@@ -128,13 +133,13 @@
             jobhistory.Ownership(line.process, line.at))
 
     def _handle_owner_ready(self, line: logfiles.LogLine) -> None:
-        ownership = self._ownership(line.process)
+        ownership = self._current_ownership(line.process)
         if ownership is not None:
             ownership.ready_at = line.at
 
     def _handle_owner_end(self, line: logfiles.LogLine) -> None:
         fields = _JobFields.model_validate(line.fields)
-        ownership = self._ownership(line.process)
+        ownership = self._current_ownership(line.process)
         if ownership is not None:
             ownership.ended_at = line.at
             ownership.reason = fields.reason
@@ -170,12 +175,12 @@
             jobhistory.JobEnd(line.at, line.process, fields.state,
                               fields.reason))
 
-    def _run(self, task: str, number: int, worker: str) -> jobhistory.Run:
+    def _get_run(self, task: str, number: int, worker: str) -> jobhistory.Run:
         runs = self.history.tasks.setdefault(task, jobhistory.Task(task)).runs
         return runs.setdefault(number, jobhistory.Run(number, worker))
 
-    def _runs_of_line(self, line: logfiles.LogLine
-                      ) -> typing.Iterator[tuple[jobhistory.Run, _RunsFields]]:
+    def _iter_runs(self, line: logfiles.LogLine
+                   ) -> typing.Iterator[tuple[jobhistory.Run, _RunsFields]]:
         fields = line.fields
         if "runs" not in fields and "task" in fields:
             single = _RunFields.model_validate(fields)
@@ -183,93 +188,99 @@
                 (single.task, single.run, single.worker)]}
         runs_fields = _RunsFields.model_validate(fields)
         for row in runs_fields.runs:
-            yield self._run(*row), runs_fields
+            yield self._get_run(*row), runs_fields
 
     def _handle_order(self, line: logfiles.LogLine) -> None:
-        for run, _ in self._runs_of_line(line):
+        for run, _ in self._iter_runs(line):
             run.ordered_at = line.at
 
     def _handle_run_end(self, line: logfiles.LogLine) -> None:
-        for run, fields in self._runs_of_line(line):
+        for run, fields in self._iter_runs(line):
             _end_run(run, line.at, fields.how)
 
-    def _run_of_line(self, line: logfiles.LogLine) -> tuple[jobhistory.Run, str] | None:
-        """Return the run that a line is about, unless it is another job's.
+    def _find_run(self, line: logfiles.LogLine
+                  ) -> tuple[jobhistory.Run, str] | None:
+        """Return the run and reason of a line; None if it's another job's run.
 
-        A run that is stopped to make room names the job that gets it.
+        The line of a preempted run also names the job that preempted it.
         """
         fields = _RunFields.model_validate(line.fields)
         if fields.task.rsplit(".", 3)[0] != self.history.job_id:
             return None
-        return (self._run(fields.task, fields.run, fields.worker),
+        return (self._get_run(fields.task, fields.run, fields.worker),
                 fields.reason)
 
     def _handle_rejection(self, line: logfiles.LogLine) -> None:
-        found = self._run_of_line(line)
-        if found is not None:
-            _end_run(found[0], line.at, jobhistory.REJECTED)
+        run_and_reason = self._find_run(line)
+        if run_and_reason is not None:
+            _end_run(run_and_reason[0], line.at, jobhistory.REJECTED)
 
     def _handle_unanswered_order(self, line: logfiles.LogLine) -> None:
-        found = self._run_of_line(line)
-        # An order of a pace has no answer either, but its run goes on.
-        if found is not None and not found[1].startswith("pace"):
-            found[0].unanswered_at = line.at
+        run_and_reason = self._find_run(line)
+        # An order to change the pace may also get no answer; the run goes on.
+        if (run_and_reason is not None
+                and not run_and_reason[1].startswith("pace")):
+            run_and_reason[0].unanswered_at = line.at
 
     def _handle_stop_request(self, line: logfiles.LogLine) -> None:
-        found = self._run_of_line(line)
-        if found is not None:
-            found[0].stop_reason = found[1]
+        run_and_reason = self._find_run(line)
+        if run_and_reason is not None:
+            run_and_reason[0].stop_reason = run_and_reason[1]
 
     def _handle_vanished_run(self, line: logfiles.LogLine) -> None:
-        found = self._run_of_line(line)
-        if found is not None:
-            _end_run(found[0], line.at, jobhistory.VANISHED)
+        run_and_reason = self._find_run(line)
+        if run_and_reason is not None:
+            _end_run(run_and_reason[0], line.at, jobhistory.VANISHED)
 
     def _handle_lost_runs(self, line: logfiles.LogLine) -> None:
         fields = _LostRunsFields.model_validate(line.fields)
         for task, number, _ in fields.runs:
-            _end_run(self._run(task, number, fields.worker), line.at,
+            _end_run(self._get_run(task, number, fields.worker), line.at,
                      jobhistory.LOST)
 
     def _handle_pace_change(self, line: logfiles.LogLine) -> None:
         if "changes" not in line.fields:
             single = _PaceFields.model_validate(line.fields)
-            self._run(single.task, single.run, single.worker).pace_changes.append(
-                (line.at, single.pace))
+            self._get_run(
+                single.task, single.run, single.worker).pace_changes.append(
+                    (line.at, single.pace))
             return
         fields = _PaceChangesFields.model_validate(line.fields)
         for task, number, _, pace, _ in fields.changes:
-            run = self._run(task, number, fields.worker)
+            run = self._get_run(task, number, fields.worker)
             run.pace_changes.append((line.at, pace))
 
 
 _REPLY_KINDS = {events.JOB_STORED.code: jobhistory.STORED,
                 events.JOB_REFUSED.code: jobhistory.REFUSED,
                 events.JOB_UNCERTAIN.code: jobhistory.UNCERTAIN}
-# What only an owner of the fleet logs.
+# Events that only an owner of the fleet logs.
 _OWNER_EVENTS = frozenset(event.code for event in (
     events.JOB_PICKED_UP, events.JOB_ENDED, events.RUN_ORDERED,
     events.RUN_ENDED, events.RUN_STOPPED, events.PACE_CHANGED,
     events.FLEET_USAGE))
 
 
-def _end_run(run: jobhistory.Run, at: float, how: str) -> None:
-    """Note the first end of a run: a new owner is told of it again."""
+def _end_run(run: jobhistory.Run, at: float, outcome: str) -> None:
+    """Record the first end of a run; a new owner may log it again."""
     if run.ended_at is None:
-        run.ended_at, run.outcome = at, how
+        run.ended_at, run.outcome = at, outcome
 
 
 def _ignore(line: logfiles.LogLine) -> None:
-    """Take nothing from a line that only names the job."""
+    """Ignore a line that names the job but says nothing about it."""
 
 
 def read_history(lines: typing.Sequence[logfiles.LogLine], job_id: str
                  ) -> jobhistory.JobHistory | None:
-    """Return what lines in time order say of a job; None without a word."""
+    """Return the history of a job; None if no line names it.
+
+    The lines must be in time order.
+    """
     builder = _HistoryBuilder(job_id)
     for line in lines:
         builder.add_line(line)
-    if not builder.found:
+    if not builder.job_found:
         return None
     builder.history.log_begin = lines[0].at
     builder.history.log_end = lines[-1].at
--- a/sycamorefield/jobhistory.py
+++ b/sycamorefield/jobhistory.py
@@ -1,4 +1,7 @@
-"""Hold what logs say of one job, and of the fleet while it was open."""
+"""Hold the history of one job and of its fleet, as read from logs.
+
+Times are in seconds on the clock of the logs.
+"""
 
 import dataclasses
 
@@ -7,7 +10,7 @@
 STORED = "stored"
 REFUSED = "refused"
 UNCERTAIN = "uncertain"
-# Ends of a run besides those that workers report.
+# Outcomes of runs other than those that workers report.
 REJECTED = "rejected"
 VANISHED = "vanished"
 LOST = "lost with its worker"
@@ -15,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SubmissionReply:
-    """Hold what a caller was told when it handed the job in."""
+    """What an entry process replied to a submission of the job."""
 
     at: float
     process: str
@@ -25,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pickup:
-    """Say when an owner took up the job."""
+    """When an owner of the fleet picked up the job."""
 
     at: float
     process: str
@@ -33,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobEnd:
-    """Say when and how the job ended."""
+    """When and in which state the job ended."""
 
     at: float
     process: str
@@ -43,17 +46,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Ownership:
-    """Hold from when to when a process owned the fleet."""
+    """A period in which one process owned the fleet."""
 
     process: str
     claimed_at: float
-    # When it had read the fleet's state.
+    # When it had read the state of the fleet.
     ready_at: float | None = None
     ended_at: float | None = None
     reason: str = ""
-    # Its last line of the kinds that only an owner writes.
+    # Time of its last line with an event that only owners log.
     last_active_at: float = 0.0
-    # Whether its claim is in the logs; else it is only seen to act.
+    # False if the logs hold lines of the owner but not its claim.
     claim_logged: bool = True
 
     def __post_init__(self) -> None:
@@ -62,7 +65,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreOutage:
-    """Say when the store ceased to answer a process."""
+    """When the store stopped answering a process."""
 
     at: float
     process: str
@@ -70,21 +73,22 @@
 
 @dataclasses.dataclass(slots=True)
 class Run:
-    """Hold one run of a task."""
+    """One run of a task."""
 
     number: int
     worker: str
     ordered_at: float | None = None
+    # When the order was logged as having got no answer.
     unanswered_at: float | None = None
     stop_reason: str = ""
     ended_at: float | None = None
     outcome: str = ""
-    # Paces in percent, from when on.
+    # (time, pace in percent from then on)
     pace_changes: list[tuple[float, float]] = dataclasses.field(
         default_factory=list)
 
     def began_at(self) -> float:
-        """Return when it was ordered, or the first that is known of it."""
+        """Return when it was ordered, or the time of its first event."""
         known = [self.ordered_at, self.unanswered_at, self.ended_at]
         known += [at for at, _ in self.pace_changes[:1]]
         return min((at for at in known if at is not None), default=0.0)
@@ -92,17 +96,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Task:
-    """Hold the runs of one task."""
+    """The runs of one task, by run number."""
 
     name: str
     runs: dict[int, Run] = dataclasses.field(default_factory=dict)
 
     def step(self) -> str:
-        """Return occurrence and number of its step."""
+        """Return its step as "OCCURRENCE.STEP"."""
         return ".".join(self.name.rsplit(".", 3)[1:3])
 
     def runs_in_order(self) -> list[Run]:
-        """Return its runs in the order of time."""
+        """Return its runs in the order in which they began."""
         return sorted(self.runs.values(), key=Run.began_at)
 
     def first_ordered_at(self) -> float:
@@ -110,29 +114,31 @@
         return min(run.began_at() for run in self.runs.values())
 
     def first_done_at(self) -> float | None:
-        """Return when a run of it was first reported as done."""
+        """Return when one of its runs was first reported as done."""
         return min((run.ended_at for run in self.runs.values()
-                    if run.outcome == messages.DONE and run.ended_at is not None),
-                   default=None)
+                    if run.outcome == messages.DONE
+                    and run.ended_at is not None), default=None)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FleetUsage:
-    """Hold how full the fleet was and how busy its owner."""
+    """Use of the fleet and load of its owner, from one SF1834 line."""
 
     at: float
     capacity_cores: float
     reserved_cores: float
     widest_gap_cores: float
     waiting_tasks: int
+    # Workers of an earlier owner that have not reported to this one yet.
     awaited_workers: int
+    # Time in placement rounds and between them since the line before.
     rounds_busy_s: float
     rounds_waited_s: float
 
 
 @dataclasses.dataclass(slots=True)
 class JobHistory:
-    """Hold all that logs say of one job."""
+    """Everything that the logs say about one job."""
 
     job_id: str
     queue: str = ""
@@ -144,19 +150,19 @@
     ownerships: list[Ownership] = dataclasses.field(default_factory=list)
     store_outages: list[StoreOutage] = dataclasses.field(default_factory=list)
     usages: list[FleetUsage] = dataclasses.field(default_factory=list)
-    # When the logs begin and end.
+    # Times of the first and the last log line.
     log_begin: float = 0.0
     log_end: float = 0.0
-    # Lines about the job or the fleet that lack what belongs in them.
+    # Lines about the job or the fleet with missing or malformed fields.
     invalid_lines: int = 0
 
     def submitted_at(self) -> float:
-        """Return when the job was first handed in, as far as is known."""
-        known = [line.at for line in (self.replies[:1] + self.pickups[:1])]
+        """Return the time of the first submission known from the logs."""
+        known = [event.at for event in (self.replies[:1] + self.pickups[:1])]
         return min(known, default=self.first_ordered_at() or self.log_begin)
 
     def is_stored(self) -> bool:
-        """Say whether the job is known to have been stored."""
+        """Return whether the logs show that the job was stored."""
         return bool(self.pickups or self.tasks or self.job_ends) or any(
             reply.kind == STORED for reply in self.replies)
 
@@ -166,14 +172,15 @@
                    default=None)
 
     def observed_until(self) -> float:
-        """Return when the job ended, or else until when its owner told."""
+        """Return when the job ended, or else the last line of an owner."""
         if self.job_ends:
             return self.job_ends[0].at
-        acts = [own.last_active_at for own in self.ownerships]
-        return max(acts, default=self.log_end)
+        last_lines = [ownership.last_active_at
+                      for ownership in self.ownerships]
+        return max(last_lines, default=self.log_end)
 
     def steps(self) -> dict[str, list[Task]]:
-        """Return the tasks of each step that was begun."""
+        """Return the tasks of each step that has runs, in step order."""
         steps: dict[str, list[Task]] = {}
         for task in self.tasks.values():
             steps.setdefault(task.step(), []).append(task)
--- a/sycamorefield/jobs.py
+++ b/sycamorefield/jobs.py
@@ -43,7 +43,7 @@
             return self.show(record.job_id)
         if reply.outcome == peers_mod.UNKNOWN:
             return result.Failure(errors.problem(
-                errors.JOB_UNKNOWN, retry_after=RETRY_AFTER))
+                errors.JOB_OUTCOME_UNKNOWN, retry_after=RETRY_AFTER))
         detail = reply.detail or "the job's cell is changing owners"
         return result.Failure(errors.problem(
             errors.NOT_RUN, retry_after=RETRY_AFTER, detail=detail))
--- a/sycamorefield/logfiles.py
+++ b/sycamorefield/logfiles.py
@@ -1,7 +1,7 @@
-"""Read the JSON lines that processes log, plain or as printed by others.
+"""Read log lines: plain JSON lines, or JSON lines with a prefix.
 
-A printed line has a time and the process before the JSON; the time then
-replaces the line's own, which each machine takes from its own clock.
+The prefix is a time and the process, as log collectors print them. Its time
+replaces the one in the JSON, which each machine takes from its own clock.
 """
 
 import dataclasses
@@ -11,37 +11,37 @@
 import typing
 
 _PREFIXED_LINE = re.compile(r"\s*(-?\d+(?:\.\d+)?) (\S+) (\{.*)")
-# Fields that list jobs, or rows that begin with a task.
+# Fields that hold lists of jobs or of rows whose first column is a task.
 _LIST_FIELDS = ("jobs", "runs", "changes")
 _PREEMPTION_REASON_PREFIX = "room for "
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogLine:
-    """Hold one logged event."""
+    """One logged event; its time is in seconds."""
 
     at: float
     process: str
     event: str
     fields: dict[str, typing.Any]
-    # Whether the time was printed before the line.
+    # Whether time and process come from a prefix.
     has_prefix: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ParsedLogs:
-    """Hold the events of some files in time order, and what was skipped."""
+    """Events in time order, and the number of lines that were skipped."""
 
     lines: list[LogLine]
-    # Lines with text that are no logged event.
+    # Lines that are neither empty nor a logged event.
     skipped_lines: int
 
 
 def parse(text: str) -> LogLine | None:
-    """Return the event of a line of text, or None if it holds none."""
-    has_prefix = _PREFIXED_LINE.match(text)
+    """Parse one line of text; return None if it is no logged event."""
+    prefixed = _PREFIXED_LINE.match(text)
     try:
-        fields = json.loads(has_prefix[3] if has_prefix else text)
+        fields = json.loads(prefixed[3] if prefixed else text)
     except ValueError:
         return None
     if not isinstance(fields, dict):
@@ -49,16 +49,16 @@
     at, event = fields.get("t"), fields.get("event")
     if not isinstance(at, (int, float)) or not isinstance(event, str):
         return None
-    if has_prefix:
-        return LogLine(float(has_prefix[1]), has_prefix[2], event, fields, True)
+    if prefixed:
+        return LogLine(float(prefixed[1]), prefixed[2], event, fields, True)
     return LogLine(float(at), str(fields.get("process", "")), event, fields)
 
 
 def parse_all(texts: typing.Iterable[str]) -> ParsedLogs:
-    """Return the events of lines of text in time order.
+    """Parse lines of text and return their events in time order.
 
-    Where only some lines have a printed time, all take their own: the two
-    clocks may be years apart.
+    If only some lines have a prefix, the times in the JSON are used for all:
+    the clock of the prefixes may be years off the clocks of the machines.
     """
     lines = []
     skipped_lines = 0
@@ -76,7 +76,10 @@
 
 
 def read(paths: typing.Iterable[str]) -> ParsedLogs:
-    """Return the events of files, and of all files in folders."""
+    """Read the events of files, and of all files in folders.
+
+    Raise OSError if a file can't be read.
+    """
     return parse_all(_read_lines(paths))
 
 
@@ -95,9 +98,9 @@
 
 
 def filter_for_job(line: LogLine, job_id: str) -> LogLine | None:
-    """Return what a line says of one job, or None if it doesn't name it.
+    """Return what a line says about one job; None if it doesn't name the job.
 
-    Of the lists that jobs share, only the entries of this job stay.
+    Lists keep only the entries of this job.
     """
     fields = dict(line.fields)
     names_job = _names_job(fields, job_id)
@@ -119,7 +122,7 @@
         return True
     if _job_id_from(fields.get("step"), 2) == job_id:
         return True
-    # Keys of the store end with the job, or with the job and a suffix.
+    # Keys of the store end with the job ID, or with the ID and a suffix.
     key = str(fields.get("key", "")).rpartition("/")[2]
     return job_id in (key, key.rpartition(".")[0])
 
@@ -131,5 +134,8 @@
 
 
 def _job_id_from(name: object, suffix_parts: int) -> str | None:
-    """Return the job in the name of a step or task."""
+    """Return the job ID in the name of a step or task.
+
+    The name has suffix_parts parts after the job ID.
+    """
     return name.rsplit(".", suffix_parts)[0] if isinstance(name, str) else None
--- a/sycamorefield/metrics.py
+++ b/sycamorefield/metrics.py
@@ -1,4 +1,4 @@
-"""Record latencies in HDR histograms and summarise them."""
+"""Record latencies in HDR histograms and format metrics as text."""
 
 import threading
 
@@ -11,13 +11,13 @@
 
 
 class Latencies:
-    """One HDR histogram per name, in microseconds."""
+    """HDR histograms of latencies in microseconds, one per name."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
         self.histograms: dict[str, hdrh.histogram.HdrHistogram] = {}
-        # The sum of all latencies by name, in seconds.
-        self.totals: dict[str, float] = {}
+        # The sum of all latencies in seconds, by name.
+        self.totals_s: dict[str, float] = {}
 
     def record(self, name: str, seconds: float) -> None:
         """Record one latency in seconds under name."""
@@ -25,26 +25,27 @@
         with self.lock:
             histogram = self.histograms.get(name)
             if histogram is None:
-                histogram = hdrh.histogram.HdrHistogram(LOWEST_US,
-                                                        HIGHEST_US, SIGNIFICANT_DIGITS)
+                histogram = hdrh.histogram.HdrHistogram(
+                    LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
                 self.histograms[name] = histogram
             histogram.record_value(latency_us)
-            self.totals[name] = self.totals.get(name, 0.0) + seconds
+            self.totals_s[name] = self.totals_s.get(name, 0.0) + seconds
 
     def summary(self) -> dict[str, dict[str, float]]:
-        """Return count and p50/p99/p99.9 in milliseconds per name."""
+        """Return count, p50, p99, p99.9 and maximum by name, in ms."""
         with self.lock:
             histograms = sorted(self.histograms.items())
         summaries = {}
         for name, histogram in histograms:
-            # Whoever records must not wait for all of them.
+            # The lock is released between histograms so that threads that
+            # record don't wait for all of them.
             with self.lock:
                 summaries[name] = summarise(histogram)
         return summaries
 
 
 def summarise(histogram: hdrh.histogram.HdrHistogram) -> dict[str, float]:
-    """Return count and percentiles in milliseconds of one histogram."""
+    """Return count, percentiles and maximum of one histogram, in ms."""
     summary: dict[str, float] = {"count": histogram.get_total_count()}
     percentiles_us = histogram.get_percentile_to_value_dict(PERCENTILES)
     for percentile in PERCENTILES:
@@ -54,7 +55,7 @@
     return summary
 
 
-# Latencies of this process's calls, by kind.
+# Latencies of the calls that this process makes, by kind.
 CALLS = Latencies()
 
 
@@ -68,5 +69,5 @@
         lines += [f'call_{name}{{call="{kind}"}} {value:g}'
                   for name, value in summary.items()]
         lines.append(f'call_total_s{{call="{kind}"}} '
-                     f'{CALLS.totals[kind]:.10g}')
+                     f'{CALLS.totals_s[kind]:.10g}')
     return "\n".join(lines) + "\n"
--- a/sycamorefield/timeline.py
+++ b/sycamorefield/timeline.py
@@ -1,4 +1,4 @@
-"""Merge every process's JSON-line log into one time line."""
+"""Merge the logs of all processes into one time line."""
 
 import glob
 import json
@@ -11,16 +11,19 @@
 
 
 def merge(log_dir: str, request_id: str | None = None) -> list[dict]:
-    """Return every event under log_dir in time order, or one request's."""
+    """Return the events in log_dir/*.jsonl in time order.
+
+    With a request_id, return only the events of that request.
+    """
     paths = sorted(glob.glob(os.path.join(log_dir, "*.jsonl")))
     return filter_lines(logfiles.read(paths).lines, None, request_id)
 
 
 def filter_lines(lines: list[logfiles.LogLine], job_id: str | None,
                  request_id: str | None = None) -> list[dict]:
-    """Return events as logged: all, or what names a job or a request.
+    """Return the fields of events: of all, or of a job or a request.
 
-    Their time is the one by which they are in order.
+    Field "t" is set to the time by which the lines are sorted.
     """
     kept: list[logfiles.LogLine | None] = [
         line for line in lines
@@ -32,7 +35,7 @@
 
 
 def render(line: dict) -> str:
-    """Return one event as a line of text."""
+    """Format one event as a line of text."""
     fields = {k: v for k, v in line.items()
               if k not in ("t", "event", "process", "zone", "msg")}
     return (f"{line.get('t', 0):.6f} {line.get('event', ''):7} "
@@ -45,9 +48,9 @@
                     ) -> metrics.Latencies:
     """Return how long the jobs of each group waited for their first start.
 
-    From the entry process's "accepted" to the worker's "began", in wall
-    clock time of their two machines.  group names the group of a job by
-    its "accepted" line.
+    That is the wall clock time from the entry process's JOB_ACCEPTED to the
+    worker's TASK_BEGAN, each by the clock of its machine. The function
+    group returns the group of a job, given its JOB_ACCEPTED line.
     """
     accepted: dict[str, dict] = {}
     latencies = metrics.Latencies()
@@ -63,7 +66,7 @@
 
 
 def write(lines: list[dict], path: str) -> int:
-    """Write the time line to path as JSON lines; return the count."""
+    """Write the time line to path as JSON lines; return their number."""
     with open(path, "w", encoding="utf-8") as handle:
         for line in lines:
             handle.write(json.dumps(line) + "\n")
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Show what is told of a job from logs alone."""
+"""Test how jobs are explained from logs alone."""
 
 import json
 
@@ -15,11 +15,11 @@
 from sycamorefield import timeline
 
 JOB = "00000000000000aa"
-OTHER = "00000000000000bb"
+OTHER_JOB = "00000000000000bb"
 TASK = JOB + ".0.0.0"
-SECOND = JOB + ".0.0.1"
-NEXT_STEP = JOB + ".0.1.0"
-OTHERS_TASK = OTHER + ".0.0.0"
+SECOND_TASK = JOB + ".0.0.1"
+NEXT_STEP_TASK = JOB + ".0.1.0"
+OTHER_TASK = OTHER_JOB + ".0.0.0"
 OWNER = "edge-1"
 ENTRY = "edge-2"
 SUCCESSOR = "edge-3"
@@ -31,58 +31,59 @@
                        "zone": "z", "msg": event.text, **fields})
 
 
-def stored(at=10.0):
-    """Return the line of a front that stored the job."""
+def job_stored(at=10.0):
+    """Return the line of an entry process that stored the job."""
     return line(at, events.JOB_STORED, ENTRY, job=JOB, queue="q", reason="")
 
 
-def seen(at=10.0, process=OWNER):
-    """Return the line of an owner that took up the job."""
-    return line(at, events.JOB_PICKED_UP, process, job=JOB, queue="q", revision=5)
+def picked_up(at=10.0, process=OWNER):
+    """Return the line of an owner that picked up the job."""
+    return line(at, events.JOB_PICKED_UP, process, job=JOB, queue="q",
+                revision=5)
 
 
-def ordered(at, *rows, process=OWNER):
-    """Return the line of runs ordered."""
+def runs_ordered(at, *rows, process=OWNER):
+    """Return the line of an owner that ordered runs."""
     return line(at, events.RUN_ORDERED, process, runs=list(rows))
 
 
-def ended(at, how, *rows, process=OWNER):
+def runs_ended(at, how, *rows, process=OWNER):
     """Return the line of runs that ended."""
     return line(at, events.RUN_ENDED, process, how=how, runs=list(rows))
 
 
-def final(at, state="completed", process=OWNER):
-    """Return the line of the job's end."""
+def job_ended(at, state="completed", process=OWNER):
+    """Return the line of the end of the job."""
     return line(at, events.JOB_ENDED, process, job=JOB, state=state)
 
 
-def usage(at, reserved=500.0, gap=2.5, busy=0.1, unheard=0):
-    """Return the line of the fleet's use."""
+def fleet_usage(at, reserved=500.0, gap=2.5, busy=0.1, unheard=0):
+    """Return the line of the usage of the fleet."""
     return line(at, events.FLEET_USAGE, capacity_cores=1000.0,
                 reserved_cores=reserved, widest_gap_cores=gap,
                 waiting={"0": 3, "2": 4}, workers_unheard=unheard,
                 rounds_busy_s=busy, rounds_waited_s=2.5 - busy)
 
 
-def claimed(at, process=OWNER):
+def fleet_claimed(at, process=OWNER):
     """Return the line of a process that claimed the fleet."""
     return line(at, events.OWNERSHIP_CLAIMED, process, fence=7)
 
 
-def recovered(at, process=OWNER):
+def owner_ready(at, process=OWNER):
     """Return the line of an owner that has read the fleet's state."""
     return line(at, events.FLEET_RECOVERED, process, fence=7, jobs=1,
                 workers=2, unheard=0)
 
 
 def read_history(*texts):
-    """Return the job's story in these lines."""
+    """Return the history of the job in these lines."""
     return historyreader.read_history(logfiles.parse_all(texts).lines, JOB)
 
 
-# Reading
+# Parsing
 
-JOB_STORED_LINE = stored(10.0)
+JOB_STORED_LINE = job_stored(10.0)
 
 
 @pytest.mark.parametrize("text, at, process", [
@@ -91,9 +92,9 @@
     ("   4.5 edge-9 " + JOB_STORED_LINE + "\n", 4.5, "edge-9"),
     (json.dumps({"t": 3, "event": "SF1001"}), 3.0, ""),
 ])
-def test_lines_are_read_plain_or_as_printed(text, at, process):
-    read = logfiles.parse(text)
-    assert (read.at, read.process) == (at, process)
+def test_lines_are_parsed_with_and_without_prefix(text, at, process):
+    parsed = logfiles.parse(text)
+    assert (parsed.at, parsed.process) == (at, process)
 
 
 @pytest.mark.parametrize("text", [
@@ -108,102 +109,103 @@
     json.dumps({"t": 3.0}),
     json.dumps({"t": 3.0, "event": 1810}),
 ])
-def test_what_is_no_log_line_is_skipped_and_counted(text):
-    reading = logfiles.parse_all(["", JOB_STORED_LINE, text, "\n"])
-    assert len(reading.lines) == 1
-    assert reading.skipped_lines == 1
+def test_text_that_is_no_log_line_is_skipped_and_counted(text):
+    logs = logfiles.parse_all(["", JOB_STORED_LINE, text, "\n"])
+    assert len(logs.lines) == 1
+    assert logs.skipped_lines == 1
 
 
 @pytest.mark.parametrize("texts, times", [
-    (["2.0 a " + stored(70.0), "1.0 b " + stored(80.0)], [1.0, 2.0]),
-    (["2.0 a " + stored(70.0), "1.0 b " + stored(60.0), stored(65.0)],
+    (["2.0 a " + job_stored(70.0), "1.0 b " + job_stored(80.0)], [1.0, 2.0]),
+    (["2.0 a " + job_stored(70.0), "1.0 b " + job_stored(60.0),
+      job_stored(65.0)],
      [60.0, 65.0, 70.0]),
 ])
-def test_lines_come_in_order_of_one_clock(texts, times):
+def test_lines_are_sorted_by_a_single_clock(texts, times):
     assert [line.at for line in logfiles.parse_all(texts).lines] == times
 
 
-def test_files_and_all_files_of_folders_are_read(tmp_path):
+def test_files_and_all_files_in_folders_are_read(tmp_path):
     folder = tmp_path / "logs"
     (folder / "deeper").mkdir(parents=True)
-    (folder / "a.log").write_text(stored(2.0) + "\n")
-    (folder / "b.jsonl").write_bytes(b"\xff\xfe\n" + seen(3.0).encode())
+    (folder / "a.log").write_text(job_stored(2.0) + "\n")
+    (folder / "b.jsonl").write_bytes(b"\xff\xfe\n" + picked_up(3.0).encode())
     single = tmp_path / "c.log"
-    single.write_text(final(1.0) + "\n")
-    reading = logfiles.read([str(single), str(folder)])
-    assert [line.at for line in reading.lines] == [1.0, 2.0, 3.0]
-    assert reading.skipped_lines == 1
+    single.write_text(job_ended(1.0) + "\n")
+    logs = logfiles.read([str(single), str(folder)])
+    assert [line.at for line in logs.lines] == [1.0, 2.0, 3.0]
+    assert logs.skipped_lines == 1
 
 
-# What names a job
+# Which lines name a job
 
 ROW = [TASK, 1, "i-1"]
-OTHERS_ROW = [OTHERS_TASK, 1, "i-1"]
+OTHER_ROW = [OTHER_TASK, 1, "i-1"]
 
 
 @pytest.mark.parametrize("fields, kept", [
     ({"job": JOB}, {"job": JOB}),
-    ({"job": OTHER}, None),
+    ({"job": OTHER_JOB}, None),
     ({"request_id": JOB}, {"request_id": JOB}),
-    ({"jobs": [OTHER, JOB]}, {"jobs": [JOB]}),
-    ({"jobs": [OTHER]}, None),
+    ({"jobs": [OTHER_JOB, JOB]}, {"jobs": [JOB]}),
+    ({"jobs": [OTHER_JOB]}, None),
     ({"jobs": 12}, None),
     ({"task": TASK, "run": 1}, {"task": TASK, "run": 1}),
-    ({"task": OTHERS_TASK}, None),
+    ({"task": OTHER_TASK}, None),
     ({"task": "1" + TASK}, None),
     ({"step": JOB + ".0.0"}, {"step": JOB + ".0.0"}),
-    ({"step": OTHER + ".0.0"}, None),
-    ({"runs": [OTHERS_ROW, ROW]}, {"runs": [ROW]}),
-    ({"runs": [OTHERS_ROW]}, None),
+    ({"step": OTHER_JOB + ".0.0"}, None),
+    ({"runs": [OTHER_ROW, ROW]}, {"runs": [ROW]}),
+    ({"runs": [OTHER_ROW]}, None),
     ({"runs": 7}, None),
     ({"runs": [[], 5, None]}, None),
-    ({"changes": [[*ROW, 50, 100], [*OTHERS_ROW, 0, 50]]},
+    ({"changes": [[*ROW, 50, 100], [*OTHER_ROW, 0, 50]]},
      {"changes": [[*ROW, 50, 100]]}),
     ({"key": "in/" + JOB}, {"key": "in/" + JOB}),
     ({"key": "in/" + JOB + ".c"}, {"key": "in/" + JOB + ".c"}),
-    ({"key": "in/" + OTHER}, None),
-    ({"task": OTHERS_TASK, "reason": "room for " + TASK},
-     {"task": OTHERS_TASK, "reason": "room for " + TASK}),
+    ({"key": "in/" + OTHER_JOB}, None),
+    ({"task": OTHER_TASK, "reason": "room for " + TASK},
+     {"task": OTHER_TASK, "reason": "room for " + TASK}),
     ({"worker": "i-1"}, None),
 ])
-def test_line_is_narrowed_to_what_names_the_job(fields, kept):
-    filter_for_job = logfiles.filter_for_job(
+def test_line_keeps_only_entries_of_the_job(fields, kept):
+    filtered = logfiles.filter_for_job(
         logfiles.LogLine(1.0, OWNER, "SF1816", fields), JOB)
-    assert (filter_for_job.fields if filter_for_job else None) == kept
+    assert (filtered.fields if filtered else None) == kept
 
 
-def test_time_line_of_one_job_holds_its_rows_alone():
-    texts = [stored(1.0), line(2.0, events.WORKER_JOINED, worker="i-1"),
-             "junk", ordered(3.0, OTHERS_ROW, ROW)]
+def test_time_line_of_a_job_has_no_rows_of_other_jobs():
+    texts = [job_stored(1.0), line(2.0, events.WORKER_JOINED, worker="i-1"),
+             "junk", runs_ordered(3.0, OTHER_ROW, ROW)]
     lines = timeline.filter_lines(logfiles.parse_all(texts).lines, JOB)
     assert [one["event"] for one in lines] == ["SF1810", "SF1816"]
     assert lines[1]["runs"] == [ROW]
-    assert OTHER not in timeline.render(lines[1])
+    assert OTHER_JOB not in timeline.render(lines[1])
 
 
 @pytest.mark.parametrize("request_id, times", [
     (None, [1.0, 2.0, 3.0]), ("r1", [2.0]), ("r2", [])])
-def test_logs_of_a_folder_are_merged_in_time_order(tmp_path, request_id,
+def test_logs_in_a_folder_are_merged_in_time_order(tmp_path, request_id,
                                                    times):
     (tmp_path / "a.jsonl").write_text(
         line(3.0, events.WORKER_JOINED) + "\n{cut\n"
         + line(1.0, events.WORKER_JOINED) + "\n")
     (tmp_path / "b.jsonl").write_text(
         line(2.0, events.REQUEST_DONE, ENTRY, request_id="r1") + "\n")
-    (tmp_path / "c.txt").write_text(stored(0.5) + "\n")
+    (tmp_path / "c.txt").write_text(job_stored(0.5) + "\n")
     merged = timeline.merge(str(tmp_path), request_id)
     assert [one["t"] for one in merged] == times
 
 
-# What each kind of line tells
+# What each kind of line adds to the history
 
 def first_run(history):
     """Return the first run of the first task."""
     return history.tasks[TASK].runs[1]
 
 
-@pytest.mark.parametrize("text, tell, told", [
-    (stored(), lambda s: s.replies,
+@pytest.mark.parametrize("text, read_value, expected", [
+    (job_stored(), lambda s: s.replies,
      [jobhistory.SubmissionReply(10.0, ENTRY, "stored", "")]),
     (line(1.0, events.JOB_REFUSED, ENTRY, job=JOB, reason="store: gone"),
      lambda s: s.replies,
@@ -213,26 +215,28 @@
      [jobhistory.SubmissionReply(1.0, ENTRY, "uncertain", "no answer")]),
     (line(1.0, events.CANCEL_STORED, ENTRY, job=JOB),
      lambda s: s.cancelled_at, 1.0),
-    (seen(2.0), lambda s: s.pickups, [jobhistory.Pickup(2.0, OWNER)]),
-    (line(2.0, events.JOB_PICKED_UP, jobs=[OTHER, JOB], fence=7),
+    (picked_up(2.0), lambda s: s.pickups, [jobhistory.Pickup(2.0, OWNER)]),
+    (line(2.0, events.JOB_PICKED_UP, jobs=[OTHER_JOB, JOB], fence=7),
      lambda s: s.pickups, [jobhistory.Pickup(2.0, OWNER)]),
-    (final(3.0, "failed"), lambda s: s.job_ends,
+    (job_ended(3.0, "failed"), lambda s: s.job_ends,
      [jobhistory.JobEnd(3.0, OWNER, "failed")]),
-    (ordered(3.0, OTHERS_ROW, ROW), lambda s: list(s.tasks), [TASK]),
-    (ordered(3.0, ROW), lambda s: first_run(s).ordered_at, 3.0),
+    (runs_ordered(3.0, OTHER_ROW, ROW), lambda s: list(s.tasks), [TASK]),
+    (runs_ordered(3.0, ROW), lambda s: first_run(s).ordered_at, 3.0),
     (line(3.0, events.RUN_ORDERED, task=TASK, run=1, worker="i-1"),
      lambda s: first_run(s).ordered_at, 3.0),
-    (ended(4.0, "lapsed", ROW),
+    (runs_ended(4.0, "lapsed", ROW),
      lambda s: (first_run(s).ended_at, first_run(s).outcome), (4.0, "lapsed")),
     (line(4.0, events.RUN_ENDED, task=TASK, run=1, worker="i-1", how="done"),
      lambda s: (first_run(s).ended_at, first_run(s).outcome), (4.0, "done")),
     (line(4.0, events.RUN_REJECTED, task=TASK, run=1, worker="i-1",
           reason="no room"),
-     lambda s: (first_run(s).ended_at, first_run(s).outcome), (4.0, "rejected")),
+     lambda s: (first_run(s).ended_at, first_run(s).outcome),
+     (4.0, "rejected")),
     (line(4.0, events.RUN_VANISHED, task=TASK, run=1, worker="i-1"),
-     lambda s: (first_run(s).ended_at, first_run(s).outcome), (4.0, "vanished")),
+     lambda s: (first_run(s).ended_at, first_run(s).outcome),
+     (4.0, "vanished")),
     (line(4.0, events.WORKER_RUNS_LOST, worker="i-1", reason="lease over",
-          lost=2, runs=[[OTHERS_TASK, 1, 0.5], [TASK, 1, None]]),
+          lost=2, runs=[[OTHER_TASK, 1, 0.5], [TASK, 1, None]]),
      lambda s: (first_run(s).ended_at, first_run(s).outcome),
      (4.0, jobhistory.LOST)),
     (line(4.0, events.RUN_UNCERTAIN, task=TASK, run=1, worker="i-1",
@@ -244,44 +248,46 @@
     (line(4.0, events.RUN_STOPPED, task=TASK, run=1, worker="i-1",
           reason="little progress here"),
      lambda s: first_run(s).stop_reason, "little progress here"),
-    (line(4.0, events.RUN_STOPPED, task=OTHERS_TASK, run=1, worker="i-1",
+    (line(4.0, events.RUN_STOPPED, task=OTHER_TASK, run=1, worker="i-1",
           reason="room for " + TASK), lambda s: s.tasks, {}),
     (line(4.0, events.PACE_CHANGED, worker="i-1", worst=1.2,
-          changes=[[TASK, 1, "img", 40, 100], [OTHERS_TASK, 1, "x", 0, 9]]),
+          changes=[[TASK, 1, "img", 40, 100], [OTHER_TASK, 1, "x", 0, 9]]),
      lambda s: first_run(s).pace_changes, [(4.0, 40.0)]),
     (line(4.0, events.PACE_CHANGED, task=TASK, run=1, worker="i-1", pace=40),
      lambda s: first_run(s).pace_changes, [(4.0, 40.0)]),
     (line(4.0, events.ADVICE_GIVEN, step=JOB + ".0.0", asked=3, good=1),
      lambda s: s.tasks, {}),
 ])
-def test_each_line_on_the_job_is_taken_in(text, tell, told):
+def test_line_about_the_job_is_added_to_its_history(text, read_value,
+                                                    expected):
     history = read_history(text)
-    assert tell(history) == told
+    assert read_value(history) == expected
     assert history.invalid_lines == 0
 
 
-@pytest.mark.parametrize("texts, tell, told", [
-    ([usage(5.0, 900.0, 1.5, 2.0, 3)], lambda s: s.usages,
+@pytest.mark.parametrize("texts, read_value, expected", [
+    ([fleet_usage(5.0, 900.0, 1.5, 2.0, 3)], lambda s: s.usages,
      [jobhistory.FleetUsage(5.0, 1000.0, 900.0, 1.5, 7, 3, 2.0, 0.5)]),
-    ([claimed(5.0), recovered(5.5)],
+    ([fleet_claimed(5.0), owner_ready(5.5)],
      lambda s: [(o.claimed_at, o.ready_at, o.ended_at) for o in s.ownerships],
      [(5.0, 5.5, None)]),
-    ([claimed(5.0), line(6.0, events.OWNERSHIP_LOST, reason="fenced")],
+    ([fleet_claimed(5.0), line(6.0, events.OWNERSHIP_LOST, reason="fenced")],
      lambda s: [(o.ended_at, o.reason) for o in s.ownerships],
      [(6.0, "fenced")]),
-    ([claimed(5.0), line(6.0, events.OWNERSHIP_RELEASED, fence=7)],
+    ([fleet_claimed(5.0), line(6.0, events.OWNERSHIP_RELEASED, fence=7)],
      lambda s: [o.ended_at for o in s.ownerships], [6.0]),
     ([line(6.0, events.STORE_UNREACHABLE, reason="timed out")],
      lambda s: s.store_outages, [jobhistory.StoreOutage(6.0, OWNER)]),
-    ([ordered(5.0, OTHERS_ROW), usage(7.0)],
+    ([runs_ordered(5.0, OTHER_ROW), fleet_usage(7.0)],
      lambda s: [(o.claim_logged, o.claimed_at, o.last_active_at)
                 for o in s.ownerships], [(False, 5.0, 7.0)]),
-    ([claimed(5.0), line(6.0, events.OWNERSHIP_LOST, reason="fenced"),
-      ordered(7.0, OTHERS_ROW)],
+    ([fleet_claimed(5.0), line(6.0, events.OWNERSHIP_LOST, reason="fenced"),
+      runs_ordered(7.0, OTHER_ROW)],
      lambda s: [o.last_active_at for o in s.ownerships], [5.0]),
 ])
-def test_each_line_on_the_fleet_is_taken_in(texts, tell, told):
-    assert tell(read_history(stored(1.0), *texts)) == told
+def test_line_about_the_fleet_is_added_to_the_history(texts, read_value,
+                                                      expected):
+    assert read_value(read_history(job_stored(1.0), *texts)) == expected
 
 
 @pytest.mark.parametrize("text", [
@@ -297,26 +303,29 @@
     line(3.0, events.JOB_ENDED, job=JOB, state=None),
     line(3.0, events.FLEET_USAGE, capacity_cores="many"),
 ])
-def test_line_that_lacks_what_belongs_in_it_is_counted(text):
-    history = read_history(stored(1.0), text)
+def test_line_with_invalid_fields_is_counted(text):
+    history = read_history(job_stored(1.0), text)
     assert history.invalid_lines == 1
-    assert "1 lines lack" in "\n".join(explain.render(history))
+    assert "1 lines have missing or malformed fields" in "\n".join(
+        explain.render(history))
 
 
-def test_first_end_of_a_run_counts_as_its_next_owner_logs_it_again():
-    history = read_history(stored(1.0), ended(4.0, "done", ROW),
-                           ended(5.0, "done", ROW, process=SUCCESSOR))
+def test_end_logged_again_by_the_next_owner_is_ignored():
+    history = read_history(job_stored(1.0), runs_ended(4.0, "done", ROW),
+                           runs_ended(5.0, "done", ROW, process=SUCCESSOR))
     assert first_run(history).ended_at == 4.0
 
 
-def test_job_without_a_line_has_no_story():
-    assert read_history(ordered(3.0, OTHERS_ROW), claimed(1.0)) is None
+def test_job_that_no_line_names_has_no_history():
+    assert read_history(runs_ordered(3.0, OTHER_ROW),
+                        fleet_claimed(1.0)) is None
     assert read_history() is None
 
 
 # Causes
 
-START = [claimed(0.0), recovered(0.1), usage(9.9), stored(10.0), seen(10.01)]
+START = [fleet_claimed(0.0), owner_ready(0.1), fleet_usage(9.9),
+         job_stored(10.0), picked_up(10.01)]
 
 
 def run_row(number, worker="i-1", task=TASK):
@@ -324,7 +333,7 @@
     return [task, number, worker]
 
 
-@pytest.mark.parametrize("texts, told", [
+@pytest.mark.parametrize("texts, expected", [
     pytest.param(
         [line(1.0, events.JOB_REFUSED, ENTRY, job=JOB,
               reason="store: store does not answer")],
@@ -332,276 +341,299 @@
     pytest.param(
         [line(1.0, events.JOB_UNCERTAIN, ENTRY, job=JOB, reason="timed out"),
          line(2.0, events.JOB_REFUSED, ENTRY, job=JOB, reason="silent")],
-        ["no sure answer", "probably wasn't stored: timed out"],
+        ["the store didn't confirm the write of edge-2",
+         "probably wasn't stored: timed out"],
         id="uncertain"),
     pytest.param(
         [line(8.0, events.JOB_UNCERTAIN, ENTRY, job=JOB, reason="timed out"),
-         claimed(0.0), recovered(0.1), stored(10.0), seen(10.0),
-         ordered(10.1, ROW), ended(10.5, "done", ROW), final(10.5)],
-        ["not known to be stored for 2.00 s", "timed out"], id="store late"),
-    pytest.param(
-        [stored(1.0)],
-        ["not taken up", "no process logged that it owns"],
-        id="no owner ever"),
-    pytest.param(
-        [claimed(0.0), recovered(0.1), usage(2.0), stored(5.0)],
-        ["not taken up", "no owner's line is in them after 2.000"],
-        id="no owner any more"),
-    pytest.param(
-        [stored(5.0), ordered(6.0, OTHERS_ROW)],
-        ["not taken up", "begin only at 6.000"], id="log not whole"),
-    pytest.param(
-        [claimed(0.0), recovered(0.1), stored(5.0), usage(8.0)],
-        ["in the 3.00 s until", "own the fleet for 0.00 s"],
-        id="owner passed it over"),
-    pytest.param(
-        [claimed(0.0), recovered(0.1), stored(10.0), usage(9.0),
-         claimed(12.0, SUCCESSOR), seen(12.1, SUCCESSOR),
-         recovered(12.2, SUCCESSOR), ordered(12.3, ROW, process=SUCCESSOR),
-         ended(12.5, "done", ROW, process=SUCCESSOR),
-         final(12.5, process=SUCCESSOR)],
-        ["without an owner, until edge-3 took the fleet over "
+         fleet_claimed(0.0), owner_ready(0.1), job_stored(10.0),
+         picked_up(10.0), runs_ordered(10.1, ROW),
+         runs_ended(10.5, "done", ROW), job_ended(10.5)],
+        ["not known to be stored for 2.00 s", "timed out"],
+        id="confirmed late by the store"),
+    pytest.param(
+        [job_stored(1.0)],
+        ["not picked up", "no process logged that it owns"],
+        id="never an owner"),
+    pytest.param(
+        [fleet_claimed(0.0), owner_ready(0.1), fleet_usage(2.0),
+         job_stored(5.0)],
+        ["not picked up", "no owner logged anything after 2.000"],
+        id="no owner any longer"),
+    pytest.param(
+        [job_stored(5.0), runs_ordered(6.0, OTHER_ROW)],
+        ["not picked up", "begin only at 6.000"], id="incomplete log"),
+    pytest.param(
+        [fleet_claimed(0.0), owner_ready(0.1), job_stored(5.0),
+         fleet_usage(8.0)],
+        ["in the 3.00 s until", "the fleet had no owner for 0.00 s"],
+        id="ignored by the owner"),
+    pytest.param(
+        [fleet_claimed(0.0), owner_ready(0.1), job_stored(10.0),
+         fleet_usage(9.0), fleet_claimed(12.0, SUCCESSOR),
+         picked_up(12.1, SUCCESSOR), owner_ready(12.2, SUCCESSOR),
+         runs_ordered(12.3, ROW, process=SUCCESSOR),
+         runs_ended(12.5, "done", ROW, process=SUCCESSOR),
+         job_ended(12.5, process=SUCCESSOR)],
+        ["without an owner, until edge-3 took over the fleet "
          "(claimed at 12.000)",
-         "edge-1 wrote nothing as owner after 9.000"],
-        id="owner change before it was taken up"),
-    # An owner cut off from the store acted on while it saw no new jobs.
-    pytest.param(
-        [claimed(0.0), recovered(0.1), stored(10.0),
-         line(10.5, events.STORE_UNREACHABLE, reason="timed out"), usage(11.9),
-         claimed(12.0, SUCCESSOR), seen(12.1, SUCCESSOR),
+         "edge-1 logged nothing as owner after 9.000"],
+        id="owner change before the pickup"),
+    # An owner that is cut off from the store goes on but sees no new jobs.
+    pytest.param(
+        [fleet_claimed(0.0), owner_ready(0.1), job_stored(10.0),
+         line(10.5, events.STORE_UNREACHABLE, reason="timed out"),
+         fleet_usage(11.9), fleet_claimed(12.0, SUCCESSOR),
+         picked_up(12.1, SUCCESSOR),
          line(12.2, events.OWNERSHIP_LOST, reason="fenced"),
-         recovered(12.2, SUCCESSOR), ordered(12.3, ROW, process=SUCCESSOR),
-         ended(12.5, "done", ROW, process=SUCCESSOR),
-         final(12.5, process=SUCCESSOR)],
-        ["waited 2.20 s without an owner, until edge-3 took the fleet over",
-         "the store didn't answer edge-1, the owner before, at 10.500"],
+         owner_ready(12.2, SUCCESSOR),
+         runs_ordered(12.3, ROW, process=SUCCESSOR),
+         runs_ended(12.5, "done", ROW, process=SUCCESSOR),
+         job_ended(12.5, process=SUCCESSOR)],
+        ["waited 2.20 s without an owner, until edge-3 took over the fleet",
+         "the store didn't answer edge-1, the previous owner, at 10.500"],
         id="owner cut off from the store"),
     pytest.param(
-        [*START, ordered(10.1, ROW), ended(10.2, "failed", ROW),
+        [*START, runs_ordered(10.1, ROW), runs_ended(10.2, "failed", ROW),
          line(10.3, events.OWNERSHIP_LOST, reason="lease ended"),
-         claimed(13.0, SUCCESSOR), recovered(13.1, SUCCESSOR),
-         ordered(13.2, run_row(1001), process=SUCCESSOR),
-         ended(13.5, "done", run_row(1001), process=SUCCESSOR),
-         final(13.5, process=SUCCESSOR)],
+         fleet_claimed(13.0, SUCCESSOR), owner_ready(13.1, SUCCESSOR),
+         runs_ordered(13.2, run_row(1001), process=SUCCESSOR),
+         runs_ended(13.5, "done", run_row(1001), process=SUCCESSOR),
+         job_ended(13.5, process=SUCCESSOR)],
         ["waited 2.90 s without an owner", "edge-3",
          "edge-1 lost it at 10.300: lease ended"],
-        id="owner change while open"),
+        id="owner change while the job is open"),
     pytest.param(
-        [*START[:-1], seen(12.0), ordered(12.1, ROW),
-         ended(12.5, "done", ROW), final(12.5)],
-        ["edge-1 owned the fleet but took the job up only after 2.00 s"],
-        id="taken up late"),
+        [*START[:-1], picked_up(12.0), runs_ordered(12.1, ROW),
+         runs_ended(12.5, "done", ROW), job_ended(12.5)],
+        ["edge-1 owned the fleet but picked up the job only after 2.00 s"],
+        id="picked up late"),
     pytest.param(
-        [*START, usage(11.0, 990.0, 1.5), ordered(12.5, ROW),
-         ended(13.0, "done", ROW), final(13.0)],
+        [*START, fleet_usage(11.0, 990.0, 1.5), runs_ordered(12.5, ROW),
+         runs_ended(13.0, "done", ROW), job_ended(13.0)],
         ["waited 2.49 s to be placed", "10.010 to 12.500",
-         "SF1834 at 11.000 shows 10 of 1000 cores free, widest gap 1.5, "
-         "7 tasks waiting; the fleet was full"], id="no room"),
+         "SF1834 at 11.000 shows 10 of 1000 cores free, at most 1.5 on one "
+         "worker, 7 tasks waiting; the fleet was full"], id="fleet full"),
     pytest.param(
-        [*START, usage(11.0), ordered(12.5, ROW), ended(13.0, "done", ROW),
-         final(13.0)],
+        [*START, fleet_usage(11.0), runs_ordered(12.5, ROW),
+         runs_ended(13.0, "done", ROW), job_ended(13.0)],
         ["waited 2.49 s to be placed", "the fleet wasn't full"],
-        id="room was there"),
+        id="fleet not full"),
     pytest.param(
-        [*START, usage(11.0, unheard=4), ordered(12.5, ROW),
-         ended(13.0, "done", ROW), final(13.0)],
-        ["4 workers of the earlier owner hadn't reported"],
-        id="workers unheard"),
+        [*START, fleet_usage(11.0, unheard=4), runs_ordered(12.5, ROW),
+         runs_ended(13.0, "done", ROW), job_ended(13.0)],
+        ["4 workers of the previous owner hadn't reported"],
+        id="workers not reported yet"),
     pytest.param(
-        [*START, usage(11.0, busy=2.4), ordered(12.5, ROW),
-         ended(13.0, "done", ROW), final(13.0)],
+        [*START, fleet_usage(11.0, busy=2.4), runs_ordered(12.5, ROW),
+         runs_ended(13.0, "done", ROW), job_ended(13.0)],
         ["the owner was saturated"], id="owner saturated"),
     pytest.param(
-        [*START[:2], *START[3:], ordered(12.5, ROW), ended(13.0, "done", ROW),
-         final(13.0)],
-        ["waited 2.49 s to be placed", "no SF1834 near"], id="no usage"),
+        [*START[:2], *START[3:], runs_ordered(12.5, ROW),
+         runs_ended(13.0, "done", ROW), job_ended(13.0)],
+        ["waited 2.49 s to be placed", "no SF1834 near"],
+        id="no usage logged"),
     pytest.param(
-        [*START, ordered(10.1, ROW, run_row(1, "i-2", SECOND)),
-         ended(10.6, "done", ROW, run_row(1, "i-2", SECOND)),
-         ordered(13.0, run_row(1, "i-3", NEXT_STEP)),
-         ended(13.1, "done", run_row(1, "i-3", NEXT_STEP)), final(13.1)],
+        [*START, runs_ordered(10.1, ROW, run_row(1, "i-2", SECOND_TASK)),
+         runs_ended(10.6, "done", ROW, run_row(1, "i-2", SECOND_TASK)),
+         runs_ordered(13.0, run_row(1, "i-3", NEXT_STEP_TASK)),
+         runs_ended(13.1, "done", run_row(1, "i-3", NEXT_STEP_TASK)),
+         job_ended(13.1)],
         ["waited 2.49 s to be placed", "10.600 to 13.000"],
         id="second step waits"),
     pytest.param(
-        [*START, ordered(10.1, ROW), ended(10.6, "done", ROW), usage(14.0)],
-        ["open when", "with 0 runs not over; until then waited 3.49 s to be "
+        [*START, runs_ordered(10.1, ROW), runs_ended(10.6, "done", ROW),
+         fleet_usage(14.0)],
+        ["open at", "with 0 unfinished runs; until then waited 3.49 s to be "
          "placed", "10.600 to 14.000"],
-        id="second step never begins"),
+        id="second step never starts"),
     pytest.param(
-        [*START, usage(14.0, 999.0)],
+        [*START, fleet_usage(14.0, 999.0)],
         ["waited 3.99 s to be placed", "the fleet was full"],
-        id="no run ever"),
+        id="never a run"),
     pytest.param(
-        [*START, ordered(10.1, ROW),
+        [*START, runs_ordered(10.1, ROW),
          line(11.6, events.RUN_UNCERTAIN, task=TASK, run=1, worker="i-1",
               reason="no answer: timed out"),
          line(11.6, events.RUN_STOPPED, task=TASK, run=1, worker="i-1",
               reason="start got no answer"),
-         ended(12.0, "stopped", ROW), ordered(12.1, run_row(2, "i-2")),
-         ended(12.5, "done", run_row(2, "i-2")), final(12.5)],
+         runs_ended(12.0, "stopped", ROW),
+         runs_ordered(12.1, run_row(2, "i-2")),
+         runs_ended(12.5, "done", run_row(2, "i-2")), job_ended(12.5)],
         ["1 order got no answer, which took 1.90 s in all, on i-1"],
-        id="order uncertain"),
+        id="order unanswered"),
     pytest.param(
-        [*START, ordered(10.1, ROW),
+        [*START, runs_ordered(10.1, ROW),
          line(11.6, events.RUN_UNCERTAIN, task=TASK, run=1, worker="i-1",
-              reason="no answer: timed out"), usage(12.0)],
-        ["1 order got no answer", "on i-1"], id="order uncertain, open"),
-    pytest.param(
-        [*START, ordered(10.1, ROW), ended(11.0, "failed", ROW),
-         ordered(11.1, run_row(2, "i-2")),
-         ended(12.0, "failed", run_row(2, "i-2")),
-         ordered(12.1, run_row(3, "i-3")),
-         ended(12.5, "done", run_row(3, "i-3")), final(12.5)],
+              reason="no answer: timed out"), fleet_usage(12.0)],
+        ["1 order got no answer", "on i-1"], id="order unanswered, job open"),
+    pytest.param(
+        [*START, runs_ordered(10.1, ROW), runs_ended(11.0, "failed", ROW),
+         runs_ordered(11.1, run_row(2, "i-2")),
+         runs_ended(12.0, "failed", run_row(2, "i-2")),
+         runs_ordered(12.1, run_row(3, "i-3")),
+         runs_ended(12.5, "done", run_row(3, "i-3")), job_ended(12.5)],
         ["2 runs failed, after 1.80 s in all, on i-1, i-2"],
         id="runs failed"),
     pytest.param(
-        [*START, ordered(10.1, ROW), ended(14.0, "lapsed", ROW),
-         ordered(14.1, run_row(2, "i-2")),
-         ended(14.5, "done", run_row(2, "i-2")), final(14.5)],
+        [*START, runs_ordered(10.1, ROW), runs_ended(14.0, "lapsed", ROW),
+         runs_ordered(14.1, run_row(2, "i-2")),
+         runs_ended(14.5, "done", run_row(2, "i-2")), job_ended(14.5)],
         ["1 run lapsed, after 3.90 s in all, on i-1"], id="run lapsed"),
     pytest.param(
-        [*START, ordered(10.1, ROW),
+        [*START, runs_ordered(10.1, ROW),
          line(12.1, events.RUN_REJECTED, task=TASK, run=1, worker="i-1",
               reason="no lease may be given"),
-         ordered(12.2, run_row(2, "i-2")),
-         ended(12.5, "done", run_row(2, "i-2")), final(12.5)],
+         runs_ordered(12.2, run_row(2, "i-2")),
+         runs_ended(12.5, "done", run_row(2, "i-2")), job_ended(12.5)],
         ["1 run rejected, after 2.00 s"], id="order rejected"),
     pytest.param(
-        [*START, ordered(10.1, ROW), ordered(13.0, run_row(2, "i-2")),
-         ended(13.5, "done", run_row(2, "i-2")), final(13.5)],
-        ["1 run without a report of an end, after 2.90 s"],
+        [*START, runs_ordered(10.1, ROW),
+         runs_ordered(13.0, run_row(2, "i-2")),
+         runs_ended(13.5, "done", run_row(2, "i-2")), job_ended(13.5)],
+        ["1 run without a reported end, after 2.90 s"],
         id="run without end"),
     pytest.param(
-        [*START, ordered(10.1, ROW),
+        [*START, runs_ordered(10.1, ROW),
          line(12.1, events.RUN_STOPPED, task=TASK, run=1, worker="i-1",
-              reason="room for " + OTHERS_TASK),
-         ended(12.2, "stopped", ROW), ordered(12.3, run_row(2, "i-2")),
-         ended(12.5, "done", run_row(2, "i-2")), final(12.5)],
-        ["1 run stopped to make room for more urgent tasks, after 2.10 s"],
+              reason="room for " + OTHER_TASK),
+         runs_ended(12.2, "stopped", ROW),
+         runs_ordered(12.3, run_row(2, "i-2")),
+         runs_ended(12.5, "done", run_row(2, "i-2")), job_ended(12.5)],
+        ["1 run preempted for more urgent tasks, after 2.10 s"],
         id="preempted"),
     pytest.param(
-        [*START, ordered(10.1, ROW),
+        [*START, runs_ordered(10.1, ROW),
          line(10.2, events.PACE_CHANGED, worker="i-1", worst=1.2,
               changes=[[*ROW[:2], "img", 0, 100]]),
          line(12.2, events.PACE_CHANGED, worker="i-1", worst=0.8,
               changes=[[*ROW[:2], "img", 50, 0]]),
-         ended(14.2, "done", ROW), final(14.2)],
-        ["paces down to 0% cost 3.00 s on i-1"], id="slowed"),
+         runs_ended(14.2, "done", ROW), job_ended(14.2)],
+        ["paces down to 0% cost 3.00 s on i-1"], id="throttled"),
     pytest.param(
-        [*START, ordered(10.1, ROW),
+        [*START, runs_ordered(10.1, ROW),
          line(10.2, events.PACE_CHANGED, worker="i-1", worst=1.2,
               changes=[[*ROW[:2], "img", 0, 100]]),
          line(12.2, events.RUN_STOPPED, task=TASK, run=1, worker="i-1",
               reason="little progress here"),
-         ended(12.2, "stopped", ROW), ordered(12.3, run_row(2, "i-2")),
-         ended(12.5, "done", run_row(2, "i-2")), final(12.5)],
-        ["paces down to 0% cost 2.00 s on i-1"], id="slowed and moved"),
+         runs_ended(12.2, "stopped", ROW),
+         runs_ordered(12.3, run_row(2, "i-2")),
+         runs_ended(12.5, "done", run_row(2, "i-2")), job_ended(12.5)],
+        ["paces down to 0% cost 2.00 s on i-1"], id="throttled and moved"),
     pytest.param(
         [*START, *(text for number in range(1, 5) for text in (
-            ordered(10.0 + number, run_row(number, f"i-{number}")),
-            ended(10.5 + number, "failed", run_row(number, f"i-{number}")))),
-         final(14.5, "failed")],
-        ["failed for good 4.50 s after", "task 0.0.0 failed 4 times, on "
+            runs_ordered(10.0 + number, run_row(number, f"i-{number}")),
+            runs_ended(10.5 + number, "failed",
+                       run_row(number, f"i-{number}")))),
+         job_ended(14.5, "failed")],
+        ["failed 4.50 s after its submission", "task 0.0.0 failed 4 times, on "
          "i-1, i-2, i-3, i-4"], id="failed"),
     pytest.param(
-        [*START, ordered(10.1, ROW), line(10.5, events.CANCEL_STORED, ENTRY,
-                                          job=JOB),
-         final(10.6, "cancelled"),
+        [*START, runs_ordered(10.1, ROW),
+         line(10.5, events.CANCEL_STORED, ENTRY, job=JOB),
+         job_ended(10.6, "cancelled"),
          line(10.6, events.RUN_STOPPED, task=TASK, run=1, worker="i-1",
-              reason="job cancelled"), ended(14.0, "stopped", ROW)],
-        ["cancelled by its caller 0.60 s after the handing in"],
+              reason="job cancelled"), runs_ended(14.0, "stopped", ROW)],
+        ["cancelled by its caller 0.60 s after its submission"],
         id="cancelled"),
     pytest.param(
-        [*START, usage(12.0, 990.0), final(13.0, "cancelled")],
-        ["cancelled by its caller 3.00 s after the handing in; until then "
-         "waited 2.99 s to be placed"], id="cancelled while it waited"),
+        [*START, fleet_usage(12.0, 990.0), job_ended(13.0, "cancelled")],
+        ["cancelled by its caller 3.00 s after its submission; until then "
+         "waited 2.99 s to be placed"], id="cancelled while waiting"),
     pytest.param(
-        [*START, ordered(10.1, ROW), ended(14.0, "done", ROW), final(14.0)],
-        ["completed 4.00 s after the handing in, and no wait"],
-        id="in time"),
+        [*START, runs_ordered(10.1, ROW), runs_ended(14.0, "done", ROW),
+         job_ended(14.0)],
+        ["completed 4.00 s after its submission, without a delay of"],
+        id="on time"),
     pytest.param(
-        [*START, ordered(10.1, ROW), usage(40.0)],
-        ["open when its owner's lines end at 40.000, with 1 run not over; "
-         "no wait"], id="goes on"),
+        [*START, runs_ordered(10.1, ROW), fleet_usage(40.0)],
+        ["open at its owner's last line, at 40.000, with 1 unfinished run; "
+         "no delay"], id="still running"),
 ])
-def test_cause_is_told(texts, told):
+def test_cause_is_found(texts, expected):
     cause = causes.likely_cause(read_history(*texts))
-    for part in told:
+    for part in expected:
         assert part in cause
 
 
-@pytest.mark.parametrize("texts, gaps", [
-    ([claimed(5.0), recovered(5.5)], [(1.0, 5.5)]),
-    ([ordered(5.0, OTHERS_ROW)], []),
-    ([claimed(5.0), recovered(5.5), usage(9.0), claimed(12.0, SUCCESSOR),
-      recovered(12.5, SUCCESSOR)], [(1.0, 5.5), (9.0, 12.5)]),
-    # The earlier owner acts until it learns of its successor.
-    ([claimed(5.0), recovered(5.5), claimed(8.0, SUCCESSOR), usage(8.2),
-      line(8.3, events.OWNERSHIP_LOST, reason="fenced"),
-      recovered(8.1, SUCCESSOR)], [(1.0, 5.5)]),
+@pytest.mark.parametrize("texts, periods", [
+    ([fleet_claimed(5.0), owner_ready(5.5)], [(1.0, 5.5)]),
+    ([runs_ordered(5.0, OTHER_ROW)], []),
+    ([fleet_claimed(5.0), owner_ready(5.5), fleet_usage(9.0),
+      fleet_claimed(12.0, SUCCESSOR), owner_ready(12.5, SUCCESSOR)],
+     [(1.0, 5.5), (9.0, 12.5)]),
+    # The previous owner goes on until it learns of its successor.
+    ([fleet_claimed(5.0), owner_ready(5.5), fleet_claimed(8.0, SUCCESSOR),
+      fleet_usage(8.2), line(8.3, events.OWNERSHIP_LOST, reason="fenced"),
+      owner_ready(8.1, SUCCESSOR)], [(1.0, 5.5)]),
 ])
-def test_time_without_an_owner(texts, gaps):
+def test_periods_without_an_owner_are_found(texts, periods):
     assert delays.periods_without_owner(
-        read_history(stored(1.0), *texts)) == gaps
+        read_history(job_stored(1.0), *texts)) == periods
 
 
-def test_of_tasks_that_go_on_the_one_that_lost_most_counts():
+def test_open_task_with_the_longest_delay_gives_the_cause():
     history = read_history(
-        *START, ordered(10.1, run_row(1, "i-1"), run_row(1, "i-2", SECOND)),
-        ended(20.0, "lapsed", run_row(1, "i-2", SECOND)),
-        ordered(20.1, run_row(2, "i-3", SECOND)), usage(30.0))
+        *START, runs_ordered(10.1, run_row(1, "i-1"),
+                             run_row(1, "i-2", SECOND_TASK)),
+        runs_ended(20.0, "lapsed", run_row(1, "i-2", SECOND_TASK)),
+        runs_ordered(20.1, run_row(2, "i-3", SECOND_TASK)), fleet_usage(30.0))
     assert "1 run lapsed" in causes.likely_cause(history)
 
 
-def test_explanation_tells_each_part():
+def test_explanation_has_all_parts():
     history = read_history(
-        *START, ordered(10.5, ROW, run_row(1, "i-2", SECOND)),
-        ended(11.0, "failed", ROW),
+        *START, runs_ordered(10.5, ROW, run_row(1, "i-2", SECOND_TASK)),
+        runs_ended(11.0, "failed", ROW),
         line(12.0, events.OWNERSHIP_LOST, reason="fenced"),
-        claimed(12.5, SUCCESSOR), seen(12.6, SUCCESSOR),
-        recovered(12.7, SUCCESSOR),
-        ordered(13.0, run_row(1001, "i-3"), process=SUCCESSOR),
-        ended(13.5, "done", run_row(1, "i-2", SECOND), process=SUCCESSOR),
-        ended(14.0, "done", run_row(1001, "i-3"), process=SUCCESSOR),
-        final(14.0, process=SUCCESSOR))
+        fleet_claimed(12.5, SUCCESSOR), picked_up(12.6, SUCCESSOR),
+        owner_ready(12.7, SUCCESSOR),
+        runs_ordered(13.0, run_row(1001, "i-3"), process=SUCCESSOR),
+        runs_ended(13.5, "done", run_row(1, "i-2", SECOND_TASK),
+                   process=SUCCESSOR),
+        runs_ended(14.0, "done", run_row(1001, "i-3"), process=SUCCESSOR),
+        job_ended(14.0, process=SUCCESSOR))
     assert explain.render(history) == [
         f"job {JOB} (queue q)",
-        "  handed in  10.000 at edge-2, stored",
-        "  taken up   10.010 (+0.010 s) by edge-1",
-        "  taken on   12.600 (+2.600 s) by edge-3",
+        "  submitted  10.000 at edge-2, stored",
+        "  picked up  10.010 (+0.010 s) by edge-1",
+        "  taken over 12.600 (+2.600 s) by edge-3",
         "  owner      12.000 (+2.000 s) edge-1 lost the fleet: fenced",
         "  owner      12.500 (+2.500 s) edge-3 claimed the fleet, "
         "ready 12.700 (+2.700 s)",
         "  step 0.0   2 tasks, first orders 10.500 (+0.500 s); "
         "3 runs ordered; 2 done, 1 failed; "
         "order to done 1.00 to 3.00 s, median 2.00",
-        "  lost to    no owner 1.70 s, room 0.79 s, failed 0.50 s",
-        "  final      completed 14.000 (+4.000 s) by edge-3",
-        "  cause      waited 1.70 s without an owner, until edge-3 took the "
-        "fleet over (claimed at 12.500); edge-1 lost it at 12.000: fenced"]
+        "  delays     no owner 1.70 s, placement 0.79 s, failed 0.50 s",
+        "  end state  completed 14.000 (+4.000 s) by edge-3",
+        "  cause      waited 1.70 s without an owner, until edge-3 took over "
+        "the fleet (claimed at 12.500); edge-1 lost it at 12.000: fenced"]
 
 
-def test_cancellation_is_told():
-    told = explain.render(read_history(*START, line(
-        10.5, events.CANCEL_STORED, ENTRY, job=JOB), final(10.6, "cancelled")))
-    assert "  cancelled  10.500 (+0.500 s) by its caller" in told
+def test_cancellation_is_explained():
+    lines = explain.render(read_history(
+        *START, line(10.5, events.CANCEL_STORED, ENTRY, job=JOB),
+        job_ended(10.6, "cancelled")))
+    assert "  cancelled  10.500 (+0.500 s) by its caller" in lines
 
 
-def test_long_lists_are_cut_short():
-    answers = [stored(10.0 + number) for number in range(9)]
-    told = explain.render(read_history(*answers))
-    assert sum("handed in" in text for text in told) == explain.MAX_LINES_PER_KIND
-    assert any(text.strip() == "and 3 more" for text in told)
+def test_long_lists_are_truncated():
+    texts = [job_stored(10.0 + number) for number in range(9)]
+    lines = explain.render(read_history(*texts))
+    assert (sum("submitted" in text for text in lines)
+            == explain.MAX_LINES_PER_KIND)
+    assert any(text.strip() == "and 3 more" for text in lines)
 
 
 # The command line
 
 @pytest.fixture(name="log")
 def fixture_log_path(tmp_path):
-    """Write a log as printed, with a line that is none."""
+    """Write a log with prefixes and a line that is no log line."""
     path = tmp_path / "day.log"
-    texts = [stored(10.0), seen(10.0), ordered(10.1, ROW, OTHERS_ROW),
-             ended(10.5, "done", ROW), final(10.5)]
+    texts = [job_stored(10.0), picked_up(10.0),
+             runs_ordered(10.1, ROW, OTHER_ROW),
+             runs_ended(10.5, "done", ROW), job_ended(10.5)]
     path.write_text("a report\n" + "".join(
         f"  {number}.5 {OWNER} {text}\n"
         for number, text in enumerate(texts)))
@@ -617,31 +649,31 @@
     return 0
 
 
-def test_explain_reads_a_log(log, capsys):
+def test_explain_reads_a_log_file(log, capsys):
     assert call("explain", JOB, log) == 0
     out, err = capsys.readouterr()
-    assert "  handed in  0.500 at edge-1, stored" in out
+    assert "  submitted  0.500 at edge-1, stored" in out
     assert "  cause      " in out
     assert err == "1 line(s) skipped that are no log lines\n"
 
 
-@pytest.mark.parametrize("tokens, code, told", [
+@pytest.mark.parametrize("tokens, code, expected", [
     (["explain", "00000000000000cc", "LOG"], cli.EXIT_NOT_FOUND,
      "names job 00000000000000cc"),
     (["explain", JOB, "LOG.gone"], cli.EXIT_NOT_FOUND, "cannot read logs"),
     (["explain", JOB], cli.EXIT_SETTINGS, "name the logs"),
     (["timeline", "LOG.gone"], cli.EXIT_NOT_FOUND, "cannot read logs"),
 ])
-def test_what_is_not_there_is_an_error(log, capsys, tokens, code, told):
+def test_missing_log_or_job_is_an_error(log, capsys, tokens, code, expected):
     assert call(*[token.replace("LOG", log) for token in tokens]) == code
     out, err = capsys.readouterr()
-    assert told in err
+    assert expected in err
     assert not out
 
 
 @pytest.mark.parametrize("options, count", [
-    ([], 5), (["--id", JOB], 5), (["--id", OTHER], 1), (["--id", "x"], 0)])
-def test_timeline_reads_files_and_folders(log, capsys, options, count):
+    ([], 5), (["--id", JOB], 5), (["--id", OTHER_JOB], 1), (["--id", "x"], 0)])
+def test_timeline_command_reads_files_and_folders(log, capsys, options, count):
     for path in (log, log.rpartition("/")[0]):
         assert call("timeline", path, *options) == 0
         out, err = capsys.readouterr()
