--- a/sycamorefield/causes.py
+++ b/sycamorefield/causes.py
@@ -241,7 +241,7 @@
                     if task.runs_in_order()[-1].ended_at is None)
     return (f"open at its owner's last line, at "
             f"{history.observed_until():.3f}, with "
-            f"{format_count(open_runs, 'unfinished run')}; "
+            f"{format_count(open_runs, 'run')} unfinished; "
             + (f"until then {largest_delay}" if largest_delay
                else f"no delay of {LATE_THRESHOLD_S} s or more before"))
 
--- a/sycamorefield/delays.py
+++ b/sycamorefield/delays.py
@@ -16,7 +16,7 @@
 NO_OWNER = "no owner"
 PICKUP = "pickup"
 PLACEMENT = "placement"
-THROTTLED = "throttled"
+THROTTLED = "paced"
 UNANSWERED = "unanswered"
 # Beginnings of the stop reasons in SF1820 lines. These cost the job no time.
 _COST_FREE_STOP_REASONS = ("done elsewhere", "job ")
--- a/sycamorefield/errors.py
+++ b/sycamorefield/errors.py
@@ -27,8 +27,8 @@
                        "request may have run; ask again with the same "
                        "idempotency key")
 JOB_OUTCOME_UNKNOWN = Code("outcome-unknown", 504,
-                           "the job may have been accepted; submit it again with "
-                           "the same job_id")
+                           "the job may have been accepted; submit it again "
+                           "with the same job_id")
 CANNOT_RUN = Code("cannot-run", 422,
                   "work {name!r} fits no worker of the fleet")
 IN_PROGRESS = Code("in-progress", 409,
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Finding:
-    """A problem in input or in a time line, and the place of it."""
+    """A problem in input or in a time line, and where it was found."""
 
     place: str
     message: str
--- a/sycamorefield/explain.py
+++ b/sycamorefield/explain.py
@@ -139,11 +139,11 @@
 def _format_job_end(history: jobhistory.JobHistory) -> str:
     if not history.job_ends:
         return _format_row(
-            "end state", "none until the last line of an owner at "
+            "final", "none until the last line of an owner at "
             f"{_format_time(history, history.observed_until())}")
     job_end = history.job_ends[0]
     text = (f"{job_end.state} {_format_time(history, job_end.at)} "
             f"by {job_end.process}")
     if len(history.job_ends) > 1:
         text += f"; logged {len(history.job_ends)} times"
-    return _format_row("end state", text)
+    return _format_row("final", text)
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -1,4 +1,4 @@
-"""Keep the event catalogue and docs/EVENTS.md in step."""
+"""Test that docs/EVENTS.md lists exactly the events of the catalogue."""
 
 import os
 
@@ -21,11 +21,11 @@
 
 @pytest.mark.parametrize("event", events.CATALOGUE,
                          ids=[e.code for e in events.CATALOGUE])
-def test_event_documented_with_its_text(event):
+def test_event_is_documented_with_its_text(event):
     assert _documented().get(event.code) == event.text
 
 
-def test_numbers_unique_and_nothing_documented_that_is_gone():
+def test_numbers_are_unique_and_no_removed_event_is_documented():
     codes = [e.code for e in events.CATALOGUE]
     assert len(codes) == len(set(codes))
     assert set(_documented()) == set(codes)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -444,7 +444,7 @@
     pytest.param(
         [*START, runs_ordered(10.1, ROW), runs_ended(10.6, "done", ROW),
          fleet_usage(14.0)],
-        ["open at", "with 0 unfinished runs; until then waited 3.49 s to be "
+        ["open at", "with 0 runs unfinished; until then waited 3.49 s to be "
          "placed", "10.600 to 14.000"],
         id="second step never starts"),
     pytest.param(
@@ -547,7 +547,7 @@
         id="on time"),
     pytest.param(
         [*START, runs_ordered(10.1, ROW), fleet_usage(40.0)],
-        ["open at its owner's last line, at 40.000, with 1 unfinished run; "
+        ["open at its owner's last line, at 40.000, with 1 run unfinished; "
          "no delay"], id="still running"),
 ])
 def test_cause_is_found(texts, expected):
@@ -605,7 +605,7 @@
         "3 runs ordered; 2 done, 1 failed; "
         "order to done 1.00 to 3.00 s, median 2.00",
         "  delays     no owner 1.70 s, placement 0.79 s, failed 0.50 s",
-        "  end state  completed 14.000 (+4.000 s) by edge-3",
+        "  final      completed 14.000 (+4.000 s) by edge-3",
         "  cause      waited 1.70 s without an owner, until edge-3 took over "
         "the fleet (claimed at 12.500); edge-1 lost it at 12.000: fenced"]
 
--- a/tools/events_doc.py
+++ b/tools/events_doc.py
@@ -16,7 +16,7 @@
            "SF15": "key-value client and stand-in",
            "SF16": "checked mode (worker, backend, load)",
            "SF17": "load tool",
-           "SF18": "fleet: intake, owner, workers"}
+           "SF18": "fleet: job requests, owner, workers"}
 HEAD = """# Event catalogue
 
 Every process logs one JSON line per event to `<log_dir>/<process>.jsonl`.
@@ -25,7 +25,8 @@
 `job`, `task`, `worker`, `fence`, `revision`, ...).
 `sycamorefield timeline --log-dir DIR` merges every process's lines into one
 time line; `--request-id ID` follows one request across processes.
-This page is written by `tools/events_doc.py`; a test keeps it in step.
+This page is written by `tools/events_doc.py`; a test compares it with the
+catalogue.
 
 | number | level | text | emitted by |
 |---|---|---|---|
@@ -33,7 +34,7 @@
 
 
 def main() -> int:
-    """Write the page."""
+    """Write docs/EVENTS.md."""
     rows = [f"| {e.code} | {logbook.get_level_name(e.level)} | {e.text} "
             f"| {SOURCES[e.code[:4]]} |" for e in events.CATALOGUE]
     with open(DOC, "w", encoding="utf-8") as handle:
