--- a/sycamorefield/causes.py
+++ b/sycamorefield/causes.py
@@ -17,7 +17,8 @@
 # An owner that spends more than this fraction of its time in placement rounds
 # counts as saturated.
 SATURATED_FRACTION = 0.8
-# Fleet usage is logged about every 2.5 s.
+# How far from a wait a usage line may be to describe it: fleet usage is logged
+# about every 2.5 s.
 USAGE_MARGIN_S = 3.0
 # A store outage that caused a takeover began at most this long before it: a
 # takeover takes about 2.5 s.
--- a/sycamorefield/checks.py
+++ b/sycamorefield/checks.py
@@ -51,7 +51,7 @@
             interval = open_tasks.pop(key, None)
             if interval is not None:
                 # A task whose lease expired ended at that time, but a frozen
-                # worker logs the end only when it goes on.
+                # worker logs the end only when it resumes.
                 interval.ended_at = line.get("ended_at", line["t"])
                 interval.state = line.get("state", "")
                 interval.end_progress = line.get("progress", 0.0)
@@ -121,7 +121,7 @@
         return cls(lost_at, outcome_recorded_at)
 
     def ended_by(self, interval: Interval) -> float:
-        """Return the latest time at which a task without a logged end ran.
+        """Return the time by which a task without a logged end had ended.
 
         Only a killed worker logs no end; one that is cut off or frozen
         logs that the leases of its tasks expired.
--- a/sycamorefield/delays.py
+++ b/sycamorefield/delays.py
@@ -12,13 +12,15 @@
 
 FULL_PACE_PERCENT = 100.0
 
+# Causes of delays, as "sycamorefield explain" prints them. A wait for an order
+# while the fleet has an owner counts as "room".
 STORE = "store"
 NO_OWNER = "no owner"
 PICKUP = "pickup"
-PLACEMENT = "placement"
+PLACEMENT = "room"
 THROTTLED = "paced"
 UNANSWERED = "unanswered"
-# Beginnings of the stop reasons in SF1820 lines. These cost the job no time.
+# Prefixes of stop reasons in SF1820 lines. Stops for these cost no time.
 _COST_FREE_STOP_REASONS = ("done elsewhere", "job ")
 _UNANSWERED_STOP_REASON = "start got no answer"
 _STALLED_STOP_REASON = "little progress here"
@@ -94,7 +96,7 @@
 
 def _pickup_delays(history: jobhistory.JobHistory, stored_at: float,
                    ready_at: float) -> list[Delay]:
-    """Return the wait for a new owner or for a slow one.
+    """Return the wait from storage to pickup, by its cause.
 
     An owner that is cut off from the store still acts on reports of its
     workers, but sees no new jobs until another process takes over.
--- a/sycamorefield/historyreader.py
+++ b/sycamorefield/historyreader.py
@@ -36,10 +36,10 @@
 
 
 class _LostRunsFields(pydantic.BaseModel):
-    """Runs lost with a worker, each with its age in seconds if known."""
+    """Runs lost with a worker; their running time may be unknown."""
 
     worker: str
-    # Task, run number, age.
+    # Task, run number, running time in seconds.
     runs: list[tuple[_TaskName, int, float | None]]
 
 
--- a/sycamorefield/jobhistory.py
+++ b/sycamorefield/jobhistory.py
@@ -78,7 +78,7 @@
     number: int
     worker: str
     ordered_at: float | None = None
-    # When the order was logged as having got no answer.
+    # When the owner logged that the order got no answer.
     unanswered_at: float | None = None
     stop_reason: str = ""
     ended_at: float | None = None
@@ -122,11 +122,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FleetUsage:
-    """Use of the fleet and load of its owner, from one SF1834 line."""
+    """Usage of the fleet and load of its owner, from one SF1834 line."""
 
     at: float
     capacity_cores: float
     reserved_cores: float
+    # The most free cores on one worker.
     widest_gap_cores: float
     waiting_tasks: int
     # Workers of an earlier owner that have not reported to this one yet.
--- a/sycamorefield/logfiles.py
+++ b/sycamorefield/logfiles.py
@@ -93,8 +93,8 @@
 def _list_files(path: str) -> list[str]:
     if not os.path.isdir(path):
         return [path]
-    names = [os.path.join(path, name) for name in sorted(os.listdir(path))]
-    return [name for name in names if os.path.isfile(name)]
+    paths = [os.path.join(path, name) for name in sorted(os.listdir(path))]
+    return [name for name in paths if os.path.isfile(name)]
 
 
 def filter_for_job(line: LogLine, job_id: str) -> LogLine | None:
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -70,6 +70,6 @@
 
 @pytest.mark.parametrize("label,lines,expected_count", TIME_LINES,
                          ids=[row[0] for row in TIME_LINES])
-def test_checks_find_each_violation_and_nothing_else(label, lines, expected_count):
+def test_checks_find_violations_only(label, lines, expected_count):
     findings = checks.check(sorted(lines, key=lambda entry: entry["t"]))
     assert len(findings) == expected_count, [str(f) for f in findings]
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -604,7 +604,7 @@
         "  step 0.0   2 tasks, first orders 10.500 (+0.500 s); "
         "3 runs ordered; 2 done, 1 failed; "
         "order to done 1.00 to 3.00 s, median 2.00",
-        "  delays     no owner 1.70 s, placement 0.79 s, failed 0.50 s",
+        "  delays     no owner 1.70 s, room 0.79 s, failed 0.50 s",
         "  final      completed 14.000 (+4.000 s) by edge-3",
         "  cause      waited 1.70 s without an owner, until edge-3 took over "
         "the fleet (claimed at 12.500); edge-1 lost it at 12.000: fenced"]
