--- a/sycamorefield/fleet/controlwatcher.py
+++ b/sycamorefield/fleet/controlwatcher.py
@@ -84,13 +84,13 @@
         self.last_answer_at = clock.now()
         if not self.store_reachable:
             self.store_reachable = True
-            events.emit(events.STORE_REGAINED)
+            events.emit(events.STORE_REACHABLE)
 
     def _note_store_lost(self, reason: str) -> None:
         if self.store_reachable:
             self.store_reachable = False
             self.owner_known = False
-            events.emit(events.STORE_LOST, reason=reason)
+            events.emit(events.STORE_UNREACHABLE, reason=reason)
 
     def _apply_configuration(self, key: str, item: messages.Item) -> None:
         if key != self.config_key or item.revision <= self.config_revision:
--- a/sycamorefield/fleet/jobwatcher.py
+++ b/sycamorefield/fleet/jobwatcher.py
@@ -50,7 +50,8 @@
         except interfaces.HistoryCompacted:
             return self._list_again(after_revision)
         except interfaces.CallFailed as exc:
-            events.emit(events.STORE_LOST, reason=f"watch of jobs: {exc}")
+            events.emit(events.STORE_UNREACHABLE,
+                        reason=f"watch of jobs: {exc}")
             self.stepped_down.wait(RETRY_PAUSE_S)
             return self._list_again(after_revision)
 
@@ -62,7 +63,8 @@
         try:
             listing = self.store.listing(records.JOB_PREFIX)
         except interfaces.CallFailed as exc:
-            events.emit(events.STORE_LOST, reason=f"list of jobs: {exc}")
+            events.emit(events.STORE_UNREACHABLE,
+                        reason=f"list of jobs: {exc}")
             self.stepped_down.wait(RETRY_PAUSE_S)
             return after_revision
         for item in listing.items:
@@ -75,7 +77,7 @@
         """Add a stored job, and log it if it is new."""
         job = self.add_job(item)
         if job is not None:
-            events.emit(events.JOB_SEEN, job=job.job_id, queue=job.queue,
+            events.emit(events.JOB_PICKED_UP, job=job.job_id, queue=job.queue,
                         revision=item.created_revision)
 
     def add_job(self, item: messages.Item) -> messages.Job | None:
--- a/sycamorefield/fleet/owner.py
+++ b/sycamorefield/fleet/owner.py
@@ -193,7 +193,7 @@
             target()
         except Exception as exc:
             events.emit(events.THREAD_FAILED, reason=repr(exc),
-                        where=events.place(exc))
+                        where=events.error_location(exc))
             self.step_down("unexpected error")
 
     def _follow_advice(self) -> None:
@@ -208,7 +208,7 @@
             try:
                 return self.recovery.load()
             except interfaces.CallFailed as exc:
-                events.emit(events.STORE_LOST, reason=str(exc))
+                events.emit(events.STORE_UNREACHABLE, reason=str(exc))
                 self.stepped_down.wait(RETRY_PAUSE_S)
         return None
 
@@ -223,7 +223,8 @@
                 self.worker_links.update_workers(
                     self.worker_list.workers(), read_at)
             except interfaces.CallFailed as exc:
-                events.emit(events.STORE_LOST, reason=f"worker list: {exc}")
+                events.emit(events.STORE_UNREACHABLE,
+                            reason=f"worker list: {exc}")
                 # Nothing may be started with an outdated list, so it is
                 # read again soon.
                 pause_s = WORKER_LIST_RETRY_S
--- a/sycamorefield/fleet/ownership.py
+++ b/sycamorefield/fleet/ownership.py
@@ -68,7 +68,8 @@
             try:
                 fence = self._claim()
             except interfaces.CallFailed as exc:
-                events.emit(events.STORE_LOST, reason=f"owner claim: {exc}")
+                events.emit(events.STORE_UNREACHABLE,
+                            reason=f"owner claim: {exc}")
                 self.stopped.wait(RETRY_PAUSE_S)
                 continue
             if fence:
@@ -161,7 +162,8 @@
             except interfaces.LeaseEnded:
                 owner.step_down("lease ended")
             except interfaces.CallFailed as exc:
-                events.emit(events.STORE_LOST, reason=f"lease renewal: {exc}")
+                events.emit(events.STORE_UNREACHABLE,
+                            reason=f"lease renewal: {exc}")
 
     def _watch_owner_key(self, owner: owner_mod.Owner) -> None:
         """Step down when the key is removed or claimed by another."""
@@ -190,7 +192,8 @@
         try:
             item = self.store.get(records.OWNER_KEY)
         except interfaces.CallFailed as exc:
-            events.emit(events.STORE_LOST, reason=f"owner key read: {exc}")
+            events.emit(events.STORE_UNREACHABLE,
+                        reason=f"owner key read: {exc}")
             return False
         self.watcher.apply_owner_read(item)
         if item is not None and item.revision == owner.fence:
@@ -207,7 +210,8 @@
             events.emit(events.OWNERSHIP_RELEASED, fence=fence)
         except (interfaces.CallFailed, interfaces.Conflict,
                 interfaces.LeaseEnded) as exc:
-            events.emit(events.STORE_LOST, reason=f"owner release: {exc}")
+            events.emit(events.STORE_UNREACHABLE,
+                        reason=f"owner release: {exc}")
 
     def stop(self) -> None:
         """Stop claiming; flush and release the fleet if owned here."""
--- a/sycamorefield/fleet/quarantines.py
+++ b/sycamorefield/fleet/quarantines.py
@@ -91,7 +91,7 @@
             quarantine.job.quarantine_workers.pop(task.task, None)
         quarantine.job.dirty = True
         quarantine.job.skip_rounds = False
-        events.emit(events.TRIAL_OVER, reason=reason, runs=[
+        events.emit(events.QUARANTINE_ENDED, reason=reason, runs=[
             (str(task.task), quarantine.run, worker_id)
             for task, worker_id in quarantine.members])
 
--- a/sycamorefield/fleet/reports.py
+++ b/sycamorefield/fleet/reports.py
@@ -40,7 +40,7 @@
         # per second, a round for each would leave no time for anything else.
         needs_round = worker.unresponsive or not worker.has_reported
         if worker.unresponsive:
-            events.emit(events.WORKER_REGAINED, worker=worker_id)
+            events.emit(events.WORKER_RESPONSIVE, worker=worker_id)
             worker.unresponsive = worker.connection_closed = False
         if not worker.has_reported:
             # A previous owner may have granted leases of maximum length.
--- a/sycamorefield/fleet/rounds.py
+++ b/sycamorefield/fleet/rounds.py
@@ -395,7 +395,7 @@
         quarantine.run = max(state.next_run_number(task)
                              for task, _ in quarantine.members)
         saved = max(task.saved for task, _ in quarantine.members)
-        events.emit(events.TRIAL_BEGUN, runs=[
+        events.emit(events.QUARANTINE_STARTED, runs=[
             (str(task.task), quarantine.run, worker_id)
             for task, worker_id in quarantine.members])
         for task, worker_id in quarantine.members:
--- a/sycamorefield/fleet/state.py
+++ b/sycamorefield/fleet/state.py
@@ -305,7 +305,7 @@
                 return
             worker.unresponsive = True
             worker.unresponsive_since = clock.now()
-            events.emit(events.WORKER_SILENT, worker=worker_id,
+            events.emit(events.WORKER_UNRESPONSIVE, worker=worker_id,
                         runs=len(worker.reserved), reason=reason)
 
     def mark_dead(self, worker_id: str, reason: str) -> None:
@@ -333,7 +333,7 @@
         worker_id = worker.entry.worker_id
         now = clock.now()
         events.emit(
-            events.WORKER_GONE, worker=worker_id, reason=reason,
+            events.WORKER_RUNS_LOST, worker=worker_id, reason=reason,
             rack=worker.entry.rack(), listed=worker.listed,
             draining=worker.entry.draining, lost=len(worker.reserved),
             silent_s=(round(now - worker.unresponsive_since, 3)
@@ -385,7 +385,7 @@
             for worker_id, until in list(self.awaited_workers.items()):
                 if now >= until and lease_held:
                     del self.awaited_workers[worker_id]
-                    events.emit(events.WORKER_GONE, worker=worker_id,
+                    events.emit(events.WORKER_RUNS_LOST, worker=worker_id,
                                 reason="leases of previous owner expired")
                     self.round_needed = True
             if self.round_needed:
