--- a/sycamorefield/api.py
+++ b/sycamorefield/api.py
@@ -1,8 +1,9 @@
-"""Serve the callers' and operators' HTTP API of an entry process.
+"""Serve the HTTP API of an entry process to callers and operators.
 
-Bodies are JSON, checked by pydantic models here at the border; every error
-answer names its code, its findings with their place, and when to come
-back.  The work itself is done by entry.Entry.
+Request bodies are JSON and are validated here by pydantic models.  Every
+error response has an error code, the findings with their location in the
+body and, where a retry makes sense, when to retry.  entry.EntryProcess
+processes the requests.
 """
 
 import functools
@@ -21,7 +22,7 @@
 
 
 class RequestModel(pydantic.BaseModel):
-    """Check a latency-critical request."""
+    """The body of a latency-critical request."""
 
     model_config = pydantic.ConfigDict(extra="forbid")
     customer: str = pydantic.Field(min_length=1, max_length=80)
@@ -33,7 +34,7 @@
 
 
 class JobModel(pydantic.BaseModel):
-    """Check a batch or standing job submission."""
+    """The body of a batch or standing job submission."""
 
     model_config = pydantic.ConfigDict(extra="forbid")
     customer: str = pydantic.Field(min_length=1, max_length=80)
@@ -44,7 +45,7 @@
 
 
 class AddRuleModel(pydantic.BaseModel):
-    """Check an operator's new rule and where it goes."""
+    """The body of a request to add a rule at a position."""
 
     model_config = pydantic.ConfigDict(extra="forbid")
     rule: rules.RuleModel
@@ -53,7 +54,7 @@
 
 
 class MoveRuleModel(pydantic.BaseModel):
-    """Check an operator's move of a rule."""
+    """The body of a request to move a rule."""
 
     model_config = pydantic.ConfigDict(extra="forbid")
     position: int = pydantic.Field(ge=0)
@@ -61,7 +62,7 @@
 
 
 class ReplaceRulesModel(pydantic.BaseModel):
-    """Check an operator's whole new rule list."""
+    """The body of a request to replace all rules."""
 
     model_config = pydantic.ConfigDict(extra="forbid")
     rules: list[rules.RuleModel]
@@ -69,7 +70,7 @@
 
 
 class RetireRuleModel(pydantic.BaseModel):
-    """Check an operator's retirement of a rule."""
+    """The body of a request to remove a rule."""
 
     model_config = pydantic.ConfigDict(extra="forbid")
     expected_revision: int | None = None
@@ -87,7 +88,7 @@
 
 def parse_body(model: type[Model], limit: int
                ) -> result.Result[Model, errors.Problem]:
-    """Read the request body and check it against model."""
+    """Read the request body, of at most limit bytes, and validate it."""
     raw = cherrypy.request.body.read(limit + 1) or b"{}"
     if len(raw) > limit:
         return result.Failure(errors.problem(errors.TOO_LARGE, limit=limit))
@@ -103,7 +104,7 @@
 
 
 def respond(answer: Answer) -> bytes:
-    """Set status and headers for an answer and return its JSON body."""
+    """Set the response status and headers and return the JSON body."""
     response = cherrypy.response
     response.headers["Content-Type"] = "application/json"
     if isinstance(answer, result.Success):
@@ -120,16 +121,16 @@
 
 def endpoint(func: typing.Callable[..., Answer]
              ) -> typing.Callable[..., bytes]:
-    """Expose func and turn its answer into a JSON response."""
+    """Expose func to cherrypy and serialise its answer as JSON."""
     @functools.wraps(func)
     def wrapper(*args: object, **kwargs: object) -> bytes:
         body = respond(func(*args, **kwargs))
         root = cherrypy.request.app.root if cherrypy.request.app else None
         if getattr(getattr(root, "entry", None), "stopping", False):
-            # A planned stop closes idle keep-alive connections at the end;
-            # a caller that sent on one just then would lose its request.
-            # Closing each connection after its answer while stopping
-            # leaves no idle connection to lose one on.
+            # Shutdown ends by closing idle keep-alive connections, and a
+            # request sent on one at that moment would be lost.  Closing
+            # each connection after its response while stopping leaves no
+            # idle connections.
             cherrypy.response.headers["Connection"] = "close"
         return body
     wrapper.exposed = True  # type: ignore[attr-defined]
@@ -138,17 +139,17 @@
 
 def error_page(status: str, message: str, traceback: str,
                version: str) -> str:
-    """Answer cherrypy's own errors (404, 500) as JSON too."""
+    """Return the JSON body for cherrypy's own errors, such as 404."""
     cherrypy.response.headers["Content-Type"] = "application/json"
     return json.dumps({"error": "http-" + status.split()[0],
                        "message": message})
 
 
 def assume_no_body() -> None:
-    """Let a DELETE without a body say nothing of its length.
+    """Treat a DELETE without Content-Length as having an empty body.
 
-    cherrypy answers 411 to it otherwise, although most clients send no
-    Content-Length with a DELETE.
+    Most clients send no Content-Length with a DELETE, and cherrypy would
+    answer 411.
     """
     headers = cherrypy.request.headers
     if (cherrypy.request.method == "DELETE"
@@ -166,20 +167,20 @@
 
 
 def method_not_allowed() -> Answer:
-    """Return the answer for a method this path does not take."""
+    """Return the 405 answer for a method the path does not support."""
     return result.Failure(errors.Problem(
         errors.Code("method-not-allowed", 405, ""), "method not allowed"))
 
 
 class Admin:
-    """Serve /admin/rules for operators."""
+    """Serve /admin/rules to operators."""
 
     def __init__(self, entry: "entry_mod.EntryProcess") -> None:
         self.entry = entry
 
     @endpoint
     def rules(self, name: str = "", action: str = "") -> Answer:
-        """List, add, replace, retire or move rules."""
+        """List, add, replace, remove or move rules."""
         method = cherrypy.request.method
         limit = self.entry.opts.max_body_bytes
         admin = self.entry.admin
@@ -201,20 +202,20 @@
 
 
 def ruleset_body(ruleset: rules.RuleSet) -> tuple[int, dict[str, object]]:
-    """Return the answer listing a rule set."""
+    """Return the HTTP status and body that list a rule set."""
     return 200, {"revision": ruleset.revision,
                  "rules": [rules.to_dict(r) for r in ruleset.rules]}
 
 
 class V1:
-    """Serve /v1 for callers."""
+    """Serve /v1 to callers."""
 
     def __init__(self, entry: "entry_mod.EntryProcess") -> None:
         self.entry = entry
 
     @endpoint
     def requests(self) -> Answer:
-        """Serve a latency-critical request while the caller waits."""
+        """Process a latency-critical request and return its answer."""
         if cherrypy.request.method != "POST":
             return method_not_allowed()
         return parse_body(RequestModel, self.entry.opts.max_body_bytes).bind(
@@ -222,7 +223,7 @@
 
     @endpoint
     def jobs(self, job_id: str = "") -> Answer:
-        """Accept a batch or standing job, show one or cancel one."""
+        """Submit, show or cancel a batch or standing job."""
         method = cherrypy.request.method
         if not job_id and method == "POST":
             return parse_body(JobModel, self.entry.opts.max_body_bytes).bind(
@@ -235,7 +236,7 @@
 
 
 class Root:
-    """Serve the entry process's whole HTTP tree."""
+    """Serve all HTTP paths of an entry process."""
 
     def __init__(self, entry: "entry_mod.EntryProcess") -> None:
         self.entry = entry
@@ -244,11 +245,11 @@
 
     @endpoint
     def healthz(self) -> Answer:
-        """Report whether this process takes new work."""
+        """Report readiness: 200 if new work is accepted, else 503."""
         return result.Success((200 if self.entry.ready() else 503,
                                self.entry.health()))
 
     @endpoint
     def metrics(self) -> Answer:
-        """Report latency histograms and counters."""
+        """Report latency summaries and counters."""
         return result.Success((200, self.entry.metrics_body()))
--- a/sycamorefield/dispatch.py
+++ b/sycamorefield/dispatch.py
@@ -1,7 +1,7 @@
-"""Send a latency-critical request to backends until it has an answer.
+"""Send a latency-critical request to backends until one answers.
 
-What a caller is told depends on what became of each attempt: only a request
-that no backend can have begun is "not run".
+The outcomes of all attempts decide what the caller is told: a request is
+"not run" only if no backend can have started it.
 """
 
 import dataclasses
@@ -21,7 +21,7 @@
 
 
 class OutcomeKind(enum.Enum):
-    """What became of a request."""
+    """The kind of outcome of a request or of one attempt to send it."""
 
     ANSWERED = "answered"
     NOT_SENT = "not sent"
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Outcome:
-    """What became of a request, its answer, or why there is none."""
+    """The outcome of a request: its answer, or why there is none."""
 
     kind: OutcomeKind
     answer: dict[str, object] = dataclasses.field(default_factory=dict)
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class BackendRequest:
-    """A request as it is sent to a backend."""
+    """The body of a request sent to a backend."""
 
     request_id: str
     customer: str
@@ -49,7 +49,7 @@
 
 
 class Dispatcher:
-    """Try backends for a request, as often as is safe."""
+    """Send requests to backends and retry where that is safe."""
 
     def __init__(self, opts: options.Options, router: routing.Router,
                  http: urllib3.PoolManager) -> None:
@@ -59,7 +59,7 @@
 
     def send(self, request: BackendRequest, work: options.Work,
              zone: str | None) -> Outcome:
-        """Return what became of a request after all tries."""
+        """Send a request, at most MAX_ATTEMPTS times; return its outcome."""
         outcome = Outcome(OutcomeKind.NOT_SENT,
                           detail="no live backend server")
         maybe_ran = False
@@ -74,7 +74,7 @@
             if maybe_ran and not work.idempotent:
                 break
         if maybe_ran and outcome.kind != OutcomeKind.ANSWERED:
-            # An earlier attempt may have run, whatever the last one says.
+            # An earlier attempt may have run, whatever the last outcome.
             return Outcome(OutcomeKind.MAYBE_RAN, detail=outcome.detail)
         return outcome
 
@@ -89,8 +89,8 @@
                 timeout=self.opts.timings.request_timeout, retries=False)
         except (urllib3.exceptions.NewConnectionError,
                 urllib3.exceptions.ConnectTimeoutError) as exc:
-            # Nothing was sent, so the request did not run there: it is
-            # safe to try another backend, even for non-idempotent work.
+            # Nothing was sent, so the request did not run: another backend
+            # can be tried safely, even for non-idempotent work.
             self.router.record_call(backend, None)
             return Outcome(OutcomeKind.NOT_SENT, detail=type(exc).__name__)
         except urllib3.exceptions.HTTPError as exc:
@@ -99,7 +99,7 @@
         self.router.record_call(backend, (time.monotonic() - sent_at) * 1000.0
                                 / work.service_ms)
         if reply.status == LEAVING_STATUS:
-            # The backend refused before running: it is leaving.
+            # A leaving backend refuses requests before it runs them.
             self.router.mark_leaving(backend.name)
             return Outcome(OutcomeKind.NOT_SENT,
                            detail=f"{backend.name} is leaving")
@@ -115,10 +115,11 @@
 
 def _parse_answer(reply: urllib3.BaseHTTPResponse,
                   request: BackendRequest) -> dict[str, object] | None:
-    """Return the whole answer to this very request, or None.
+    """Return the answer if it is complete and has this request's id.
 
-    A backend that mixes up or cuts off answers had a request in hand; what
-    it sent must never reach this caller, and this one may have run.
+    Otherwise return None.  A backend that returns a truncated answer or one
+    for another request may have run this request, and its answer must never
+    reach the caller.
     """
     if reply.status != 200:
         return None
--- a/sycamorefield/entry.py
+++ b/sycamorefield/entry.py
@@ -1,8 +1,8 @@
-"""Run an entry process: take callers' work and operators' rules.
+"""Run an entry process, which serves callers and operators.
 
-An entry process joins the membership, owns a share of the workers, follows
-the rules through the key-value service, routes latency-critical requests to
-backend servers and places batch jobs on the workers it owns.
+An entry process joins the membership, owns a share of the cells and their
+workers, watches the rules in the key-value service, routes latency-critical
+requests to backend servers and places batch jobs on the workers it owns.
 """
 
 import dataclasses
@@ -41,7 +41,7 @@
 
 
 class EntryProcess:
-    """One entry process and everything it holds."""
+    """An entry process with all its components."""
 
     def __init__(self, opts: options.Options, name: str,
                  policy: str = "guarded") -> None:
@@ -75,12 +75,12 @@
         self.stopping = False
 
     def increment_counter(self, name: str) -> None:
-        """Add one to a named counter."""
+        """Increment a named counter by one."""
         with self.lock:
             self.counters[name] = self.counters.get(name, 0) + 1
 
     def start(self) -> None:
-        """Start every task of the process and its HTTP listener."""
+        """Start the background threads and the gRPC and HTTP servers."""
         self.rule_cache.poll()
         self.peer_listener = peers.serve(self.peer_server, self.opts.host,
                                          self.spec.grpc_port)
@@ -101,12 +101,13 @@
             **api.HTTP_CONFIG)
 
     def stop(self) -> None:
-        """Stop gracefully: refuse new work, finish in-flight, leave.
+        """Shut down gracefully.
 
-        First every answer says "stopping" (healthz too, for the balancer)
-        and closes its connection; after a grace the listener closes, the
-        requests already accepted are answered, and only then does the
-        process give up its lease and exit.
+        First, new work is refused with "stopping" (/healthz reports it too,
+        for the load balancer) and every response closes its connection.
+        After STOP_GRACE_S the listener closes and the requests already
+        accepted are answered, until the drain timeout at the latest.  Only
+        then does the process release its claims and its lease.
         """
         events.emit(events.PROCESS_STOPPING, in_flight=self.in_flight)
         self.stopping = True
@@ -128,7 +129,7 @@
             time.sleep(0.02)
 
     def health(self) -> dict[str, object]:
-        """Return this process's view of itself."""
+        """Return the body of /healthz."""
         return {"entry": self.name, "zone": self.spec.zone,
                 "ready": self.ready(), "stopping": self.stopping,
                 "rules_revision": self.rule_cache.current.revision,
@@ -137,7 +138,7 @@
                 "owned": self.cells.workers()}
 
     def metrics_body(self) -> dict[str, object]:
-        """Return latency summaries and counters."""
+        """Return the body of /metrics: latency summaries and counters."""
         with self.lock:
             counters = dict(self.counters)
         counters["evictions"] = self.cells.counters.evictions
@@ -148,32 +149,33 @@
                 "counters": counters}
 
     def ready(self) -> bool:
-        """Return whether this process takes new work."""
+        """Return whether this process accepts new work."""
         return self.rule_cache.loaded() and not self.stopping
 
     def _not_ready_problem(self) -> errors.Problem:
-        """Return what a caller is told by a process that is not ready."""
+        """Return the error for work that arrives while not ready."""
         if self.stopping:
             return errors.problem(errors.STOPPING,
                                   retry_after=STOPPING_RETRY_AFTER_S)
-        # Without its rules this process would admit what they reject.
+        # Work that matches no rule is admitted, so a process without its
+        # rules would admit work that they reject.
         return errors.problem(errors.STORE_UNAVAILABLE,
                               retry_after=RETRY_AFTER_S,
                               detail="the rules are not read yet")
 
     def serve_request(self, request: api.RequestModel) -> api.Answer:
-        """Route one latency-critical request and return its answer."""
+        """Process a latency-critical request and return its answer."""
         if not self.ready():
             return result.Failure(self._not_ready_problem())
         with self.lock:
             self.in_flight += 1
         try:
-            return self._route(request)
+            return self._process_request(request)
         finally:
             with self.lock:
                 self.in_flight -= 1
 
-    def _route(self, request: api.RequestModel) -> api.Answer:
+    def _process_request(self, request: api.RequestModel) -> api.Answer:
         started_at = time.monotonic()
         request_id = request.request_id or uuid.uuid4().hex
         work = self.opts.work.get(request.work)
@@ -217,7 +219,7 @@
     def _record_start(
             self, request: api.RequestModel, request_id: str
     ) -> result.Result[idempotency.RecordedRequest, errors.Problem]:
-        """Record a request that must not be repeated, before dispatch."""
+        """Record a non-idempotent request before it is dispatched."""
         key = request.idempotency_key
         if key is None:
             return result.Failure(errors.Problem(
@@ -232,13 +234,13 @@
 
     def _record_outcome(self, key: str, record: idempotency.RecordedRequest,
                         outcome: dispatch.Outcome) -> None:
-        """Record what became of a request that must not be repeated."""
+        """Record the outcome of a non-idempotent request."""
         if outcome.kind == dispatch.OutcomeKind.ANSWERED:
             self.idempotency_store.record_answer(key, record, outcome.answer)
         elif outcome.kind == dispatch.OutcomeKind.MAYBE_RAN:
             self.idempotency_store.record_unknown_outcome(key, record)
         else:
-            self.idempotency_store.record_not_dispatched(key, record)
+            self.idempotency_store.delete_record(key, record)
 
     def _report_answer(self, request_id: str, work: options.Work,
                        seconds: float, outcome: dispatch.Outcome) -> None:
@@ -256,7 +258,7 @@
                     detail=problem.message)
 
     def submit_job(self, request: api.JobModel) -> api.Answer:
-        """Accept a batch or standing job; it is run from the store."""
+        """Accept a batch or standing job, which is stored before it runs."""
         if not self.ready():
             return result.Failure(self._not_ready_problem())
         work = self.opts.work.get(request.work)
@@ -282,11 +284,11 @@
         return accepted.map(lambda record: job_answer(record, 202))
 
     def show_job(self, job_id: str) -> api.Answer:
-        """Return the record of a job."""
+        """Return a job's record."""
         return self.jobs.show(job_id).map(job_answer)
 
     def cancel_job(self, job_id: str) -> api.Answer:
-        """Cancel a job: a queued one at once, a running one by stopping it."""
+        """Cancel a job; stop it first if it is running."""
         cancelled = self.jobs.cancel(job_id)
         if isinstance(cancelled, result.Success):
             events.emit(events.JOB_CANCELLED, job=job_id,
@@ -295,7 +297,7 @@
 
     def add_rule(self, model: api.AddRuleModel
                  ) -> result.Result[rules.RuleSet, errors.Problem]:
-        """Add a rule; check what it names first."""
+        """Add a rule after checking the names it refers to."""
         findings = self._check_rule(model.rule, "body.rule")
         if findings:
             return result.Failure(errors.Problem(
@@ -306,7 +308,7 @@
 
     def replace_rules(self, model: api.ReplaceRulesModel
                       ) -> result.Result[rules.RuleSet, errors.Problem]:
-        """Replace the whole rule list; check every rule first."""
+        """Replace all rules after checking the names they refer to."""
         findings: tuple[errors.Finding, ...] = ()
         for index, rule in enumerate(model.rules):
             findings += self._check_rule(rule, f"body.rules.{index}")
@@ -322,13 +324,13 @@
 
     def retire_rule(self, name: str, model: api.RetireRuleModel
                     ) -> result.Result[rules.RuleSet, errors.Problem]:
-        """Retire the named rule."""
+        """Remove a rule."""
         return self.admin.apply_edit(ruleadmin.retire(name),
                                      model.expected_revision)
 
     def move_rule(self, name: str, model: api.MoveRuleModel
                   ) -> result.Result[rules.RuleSet, errors.Problem]:
-        """Move the named rule to a new position."""
+        """Move a rule to a new position."""
         return self.admin.apply_edit(ruleadmin.move(name, model.position),
                                      model.expected_revision)
 
@@ -352,7 +354,7 @@
 
 def _outcome_problem(outcome: dispatch.Outcome,
                      work: options.Work) -> errors.Problem:
-    """Return what a caller is told of a request without an answer."""
+    """Return the error for a request that got no answer."""
     if outcome.kind == dispatch.OutcomeKind.MAYBE_RAN:
         return errors.problem(errors.OUTCOME_UNKNOWN,
                               retry_after=RETRY_AFTER_S)
@@ -365,13 +367,16 @@
 
 def job_answer(record: jobtable.JobRecord, status: int = 200
                ) -> tuple[int, dict[str, object]]:
-    """Return the answer that shows a job's record."""
+    """Return the HTTP status and body that show a job's record."""
     return status, dataclasses.asdict(record)
 
 
 def seed_rules(opts: options.Options, kv: kvclient.Client,
                stopped: threading.Event) -> None:
-    """Write the settings' rules if the store has none, once it answers."""
+    """Store the rules from the settings unless the store has rules.
+
+    Retries until the store answers.
+    """
     value = rulecache.encode(list(opts.rules))
     while not stopped.is_set():
         if isinstance(kv.cas(rulecache.RULES_KEY, 0, value), result.Success):
--- a/sycamorefield/httpserver.py
+++ b/sycamorefield/httpserver.py
@@ -1,17 +1,18 @@
-"""Serve one cherrypy application per process, with the same settings."""
+"""Run the cherrypy HTTP server of a process."""
 
 import cherrypy
 
-# Connections the kernel holds for accept(); cherrypy's default of 5 reset
-# callers under 40-60 concurrent new connections (seen in test_endtoend).
+# Connections that the kernel queues for accept().  With cherrypy's default
+# of 5, connections were reset at 40 to 60 concurrent new connections, as
+# in test_endtoend.
 LISTEN_BACKLOG = 512
 THREAD_POOL_SIZE = 60
 
 
 def start(host: str, port: int, app: object, **extra_settings: object) -> None:
-    """Listen on host:port and serve app; more adds cherrypy settings.
+    """Serve app on host:port with additional cherrypy settings.
 
-    Setting names in more use two underscores where cherrypy has a dot.
+    The names in extra_settings have two underscores instead of each dot.
     """
     cherrypy.config.update({
         "server.socket_host": host, "server.socket_port": port,
@@ -27,10 +28,10 @@
 
 
 def stop_listening() -> None:
-    """Close the listener; answer what was accepted."""
+    """Close the listener; requests already accepted are still answered."""
     cherrypy.server.stop()
 
 
 def stop() -> None:
-    """Stop serving."""
+    """Stop the server and the cherrypy engine."""
     cherrypy.engine.exit()
--- a/sycamorefield/idempotency.py
+++ b/sycamorefield/idempotency.py
@@ -1,11 +1,11 @@
 """Record non-idempotent requests in the key-value service before dispatch.
 
-A request that must not run twice (a certificate issue, a cover order)
-carries an idempotency key.  The entry process writes /idem/<key> with
-compare-and-swap from "absent" before it sends the request on, and writes
-the answer there afterwards.  A retry, also one that the balancer sends to
-another entry VM, finds the record and gets the stored answer, or is told
-the request is in progress; it never runs the request again.
+A request that must not run twice (a certificate issue, a cover order) has
+an idempotency key.  The entry process creates /idem/<key> by
+compare-and-swap before it dispatches the request and writes the answer
+there afterwards.  A retry finds the record, even if the load balancer sends
+it to another entry VM, and gets the stored answer or an error, such as "in
+progress".  It never runs the request again.
 """
 
 import dataclasses
@@ -32,7 +32,7 @@
 
 
 class RecordKind(enum.Enum):
-    """How a recorded request may go on."""
+    """Whether to dispatch a recorded request or replay its answer."""
 
     NEW = "fresh"
     REPLAY = "replay"
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class RecordedRequest:
-    """The outcome of recording a request: go on, or replay an answer."""
+    """A request in the store: new, or answered and to be replayed."""
 
     kind: RecordKind
     answer: dict[str, object] | None = None
@@ -50,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class PendingWrite:
-    """What became of a recorded request, still to be written."""
+    """A write to the record of a request that is not stored yet."""
 
     key: str
     value: bytes
@@ -59,7 +59,7 @@
 
 
 class IdempotencyStore:
-    """Record and look up requests by idempotency key."""
+    """Store and look up requests by idempotency key."""
 
     def __init__(self, kv: kvclient.Client, entry: str,
                  lease: typing.Callable[[], int] = lambda: 0,
@@ -75,7 +75,11 @@
 
     def record_start(self, key: str, request_id: str
                      ) -> result.Result[RecordedRequest, errors.Problem]:
-        """Record key as started by request_id before dispatch."""
+        """Record the request as started, or return the existing record.
+
+        Fails if the store cannot be reached, if the request is in progress
+        or if the outcome of an earlier try is unknown.
+        """
         record = {"state": STARTED, "request_id": request_id,
                   "entry": self.entry, "lease": self.lease()}
         swap = self._compare_and_swap(key, 0, kvclient.encode(record))
@@ -90,23 +94,24 @@
             return result.Failure(errors.problem(
                 errors.NOT_RUN, retry_after=RETRY_AFTER_S,
                 detail=failure.detail))
-        # The reply was lost, but the write may have taken effect.  Read the
-        # record back: if it is ours we go on, if it is absent the request
-        # was not run and the caller may send it again.
-        got = self.kv.get(KEY_PREFIX + key)
-        if not isinstance(got, result.Success) or got.unwrap() is None:
+        # The reply was lost, but the write may have been applied.  Read the
+        # record back: if it is this request's, continue; if it is absent,
+        # the request was not run and the caller may send it again.
+        reply = self.kv.get(KEY_PREFIX + key)
+        if not isinstance(reply, result.Success) or reply.unwrap() is None:
             return result.Failure(errors.problem(
                 errors.NOT_RUN, retry_after=RETRY_AFTER_S,
                 detail=failure.detail))
-        return self._resolve_existing(got.unwrap(), request_id)
+        return self._resolve_existing(reply.unwrap(), request_id)
 
     def _compare_and_swap(self, key: str, revision: int, value: bytes,
                           delete: bool = False
                           ) -> kvclient.Outcome[kvclient.Swap]:
-        """Write a record that is kept for as long as retries may come."""
+        """Write or delete a record, which is kept for the retention period."""
         lease = self.retention.lease()
         if not isinstance(lease, result.Success):
-            # A lease that may have been granted holds no record yet.
+            # Even if the lease was granted, no record is bound to it yet,
+            # so the write was certainly not applied.
             return result.Failure(kvclient.KvError(
                 NOT_WRITTEN, lease.failure().detail))
         swap = self.kv.cas(KEY_PREFIX + key, revision, value,
@@ -124,7 +129,7 @@
         if (record.get("request_id") == request_id
                 and record.get("entry") == self.entry
                 and record.get("lease") == self.lease()):
-            # Our own write of a moment ago, its reply lost.
+            # This request's own write, whose reply was lost.
             return result.Success(self._new_record(
                 getattr(item, "mod_revision", 0), request_id))
         if record.get("state") == STARTED and self._recorder_alive(record):
@@ -145,16 +150,16 @@
                 return record.get("request_id") in self.active_request_ids
         recorder = membership.member_id(str(record.get("entry")),
                                         int(str(record.get("lease"))))
-        got = self.kv.get(membership.MEMBERS_PREFIX + recorder)
-        # A store that does not answer says nothing of the recorder: come
-        # back, the request may still be in hand.
-        return got.map(lambda item: item is not None).value_or(True)
+        reply = self.kv.get(membership.MEMBERS_PREFIX + recorder)
+        # If the store does not answer, assume that the recording process is
+        # alive: the request may still be in progress, so the caller retries.
+        return reply.map(lambda item: item is not None).value_or(True)
 
-    def record_not_dispatched(self, key: str,
-                              recorded: RecordedRequest) -> None:
-        """Remove our record of a request that was not dispatched.
+    def delete_record(self, key: str,
+                      recorded: RecordedRequest) -> None:
+        """Delete the record of a request that no backend ran.
 
-        Without this, a caller told "not run" who retries with the same
+        Otherwise a caller who was told "not run" and retries with the same
         key would be told that the request may have run.
         """
         self._write_or_queue(recorded, PendingWrite(
@@ -162,23 +167,23 @@
 
     def record_unknown_outcome(self, key: str,
                                recorded: RecordedRequest) -> None:
-        """Record that a dispatched request's outcome is not known."""
+        """Record that the outcome of a dispatched request is unknown."""
         self._write_or_queue(recorded, PendingWrite(
             key, kvclient.encode({"state": UNKNOWN}), recorded.revision))
 
     def record_answer(self, key: str, recorded: RecordedRequest,
                       answer: dict[str, object]) -> None:
-        """Record the answer under key, for retries to be given."""
+        """Record the answer, which retries with this key will get."""
         self._write_or_queue(recorded, PendingWrite(key, kvclient.encode(
             {"state": DONE, "answer": answer}), recorded.revision))
 
     def _write_or_queue(self, recorded: RecordedRequest,
                         write: PendingWrite) -> None:
-        # The caller is waiting, so one try is made here and only while
-        # nothing is left over from earlier: a store that is down would
-        # hold every answer back by a timeout.  What cannot be written now
-        # is written in the background when the store is back; without it
-        # a retry would find the request "in progress" for ever.
+        # The caller is waiting, so the write is attempted once here, and
+        # only if no earlier write is pending: while the store is down, each
+        # attempt would delay an answer by a timeout.  Pending writes are
+        # retried in the background until the store is back; without them a
+        # retry of the request would get "in progress" forever.
         if self.pending_writes.unfinished_tasks or not self._write(write):
             self.pending_writes.put(write)
             with self.lock:
@@ -191,9 +196,10 @@
             self.active_request_ids.discard(recorded.request_id)
 
     def _write(self, write: PendingWrite) -> bool:
-        """Write once; return whether nothing is left to do."""
-        # A swap that loses has been overtaken by an outcome already there
-        # (ours, its reply lost); either way nothing is left to write.
+        """Try to write once; return whether the write is settled."""
+        # A compare-and-swap that fails on the revision finds an outcome
+        # stored already (this write's own, if its reply was lost), so
+        # nothing is left to write.
         return isinstance(self._compare_and_swap(
             write.key, write.revision, write.value,
             delete=write.delete), result.Success)
--- a/sycamorefield/membership.py
+++ b/sycamorefield/membership.py
@@ -1,14 +1,15 @@
-"""Keep an entry process in the membership and divide the cells.
+"""Maintain the membership of entry processes and the ownership of cells.
 
 Each entry process holds a lease in the key-value service and a key
-/members/<id> bound to it, which also tells its peers where it listens.  The
-id is the process's name and its lease, so that a process and the one that
-replaces it under the same name are two members while both run.
-An owner claims /owners/<cell> under its own lease, and the claim's
-mod_revision is the fence that every worker of the cell checks.  When a
-member's lease lapses its claims vanish with it and others claim the cells.
-Members keep the division even by giving up what they hold beyond their
-share; nobody directs it.
+/members/<id> bound to that lease, which contains its address for the peers.
+The id is the process's name and its lease, so that a process and its
+replacement under the same name are two members while both run.
+
+An owner claims /owners/<cell> under its own lease, and the mod_revision of
+the claim is the fencing token that every worker of the cell checks.  When a
+member's lease expires, its claims are removed with it and other members
+claim the cells.  Members balance the cells without a coordinator: each one
+releases the cells beyond its share.
 """
 
 import dataclasses
@@ -26,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Claim:
-    """This process's ownership of one cell, fenced by a revision."""
+    """The ownership of a cell by this process, with its fencing token."""
 
     cell: int
     fence: int
@@ -34,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Member:
-    """A live entry process: its zone and where its peers reach it."""
+    """A live entry process: its zone and the address of its peer server."""
 
     name: str
     zone: str
@@ -43,17 +44,17 @@
 
     @property
     def id(self) -> str:
-        """Return what tells this member from every other, ever."""
+        """Return the member id, which is never reused."""
         return member_id(self.name, self.lease)
 
 
 def member_id(name: str, lease: int) -> str:
-    """Return the id of the member of a name under a lease."""
+    """Return the id of the member with this name and lease."""
     return f"{name}.{lease}"
 
 
 class Membership:
-    """Hold this member's lease, the live members and the claims."""
+    """The lease and claims of this member and the list of live members."""
 
     def __init__(self, kv: kvclient.Client, opts: options.Options,
                  name: str) -> None:
@@ -72,7 +73,7 @@
             lambda cell, lease_valid: None)
 
     def join(self) -> bool:
-        """Grant a lease and write the member key; False if the store fails."""
+        """Get a lease and write the member key; return whether it worked."""
         ttl_ms = int(self.opts.timings.member_ttl * 1000)
         asked_at = time.monotonic()
         granted = self.kv.grant(ttl_ms)
@@ -86,7 +87,7 @@
         return True
 
     def _write_member_key(self, lease: int) -> bool:
-        """Write the member key; return whether the store took it."""
+        """Write the member key; return whether the store accepted it."""
         spec = self.opts.entry(self.name)
         member = Member(self.name, spec.zone,
                         f"{self.opts.host}:{spec.grpc_port}", lease)
@@ -96,11 +97,11 @@
 
     @property
     def id(self) -> str:
-        """Return this process's member id under its present lease."""
+        """Return the member id of this process under its current lease."""
         return member_id(self.name, self.lease)
 
     def run(self) -> None:
-        """Renew the lease and keep claims in step with the members."""
+        """Renew the lease and adjust the claims to the members, repeatedly."""
         while not self.stopped.is_set():
             if not self.lease and not self.join():
                 self.stopped.wait(self.opts.timings.heartbeat)
@@ -110,12 +111,13 @@
             if renewed.value_or(-1) > 0:
                 self.renewed_at = asked_at
             if renewed.value_or(-1) == 0 or not self.lease_valid():
-                # The lease lapsed while we were paused or cut off from the
-                # store: our member key and claims are gone or soon will be,
-                # and a successor may already own our cells.  By our own
-                # clock the lease is over once a TTL has passed since the
-                # last renewal we sent, whether or not the store said so;
-                # drop every claim then and join again with a fresh lease.
+                # The lease expired while this process was paused or could
+                # not reach the store: the member key and the claims are
+                # gone or soon will be, and another member may already own
+                # the cells.  By the local clock the lease is over once its
+                # TTL has passed since the last successful renewal was sent,
+                # whatever the store answers.  Drop every claim and join
+                # again with a new lease.
                 events.emit(events.LEASE_LOST, member=self.id)
                 self._drop_claims()
                 self.lease = 0
@@ -124,12 +126,12 @@
             self.stopped.wait(self.opts.timings.heartbeat)
 
     def lease_valid(self) -> bool:
-        """Return whether our lease is still live by our own clock."""
+        """Return whether the lease is still valid by the local clock."""
         return bool(self.lease) and (time.monotonic() - self.renewed_at
                                      < self.opts.timings.member_ttl)
 
     def refresh(self) -> None:
-        """Read members and owners; claim or release cells to match."""
+        """Read members and owners, then claim or release cells."""
         members_read = self.kv.range(MEMBERS_PREFIX)
         if not isinstance(members_read, kvclient.result.Success):
             return
@@ -147,8 +149,9 @@
                        kvclient.decode(item.value)["owner"]
                        for item in owners_read.unwrap().items}
         if self.id not in members:
-            # Gone although our lease is live (an operator's slip, a late
-            # delete): without it nobody could reach the cells we own.
+            # The member key is gone although the lease is valid (deleted
+            # by an operator's mistake or by a late delete).  Without it,
+            # peers cannot reach the cells that this process owns.
             self._write_member_key(self.lease)
             return
         for cell in self._cells_to_claim():
@@ -164,14 +167,14 @@
         return counts
 
     def _cells_to_claim(self) -> list[int]:
-        """Return the free cells this member should claim now."""
+        """Return the unowned cells that this member should claim now."""
         available = [cell for cell in range(self.opts.cells)
                      if self.owners.get(cell) in (None, self.id)
                      and cell not in self.claims]
         max_share = -(-self.opts.cells // len(self.members))
         own_count = self._count_owned_cells()[self.id]
-        # Members start in different places so that they seldom race for
-        # the same cell; a lost race costs one write and is harmless.
+        # Each member starts at a different offset, so that two rarely race
+        # for the same cell.  Losing a race is harmless: it costs one write.
         member_ids = sorted(self.members)
         offset = member_ids.index(self.id) * max_share
         available.sort(key=lambda cell: (cell - offset) % self.opts.cells)
@@ -181,7 +184,7 @@
                 [:max(0, max_share - own_count)])
 
     def _cells_to_release(self) -> list[int]:
-        """Return the cells this member should give up now."""
+        """Return the cells that this member should release now."""
         counts = self._count_owned_cells()
         cells = sorted(self.claims)
         max_share = -(-self.opts.cells // len(self.members))
@@ -203,7 +206,7 @@
         if outcome.succeeded:
             fence = outcome.revision
         elif outcome.current is not None and outcome.current.value == value:
-            # Our own earlier claim under this lease, its reply lost.
+            # An earlier claim under this lease whose reply was lost.
             fence = outcome.current.mod_revision
         else:
             return
@@ -232,7 +235,7 @@
             self.on_release(cell, False)
 
     def leave(self) -> None:
-        """Release every claim and revoke the lease, for a planned stop."""
+        """Release every claim and revoke the lease, for a planned shutdown."""
         self.stopped.set()
         for cell in list(self.claims):
             self._release(cell)
@@ -241,10 +244,10 @@
         events.emit(events.MEMBER_LEFT, member=self.id)
 
     def current_claims(self) -> list[Claim]:
-        """Return this process's current claims."""
+        """Return the current claims of this process."""
         with self.lock:
             return list(self.claims.values())
 
     def owner_of(self, cell: int) -> Member | None:
-        """Return the live member that owns a cell, as last read."""
+        """Return the live member that owns a cell, as of the last refresh."""
         return self.members.get(self.owners.get(cell, ""))
--- a/sycamorefield/peers.py
+++ b/sycamorefield/peers.py
@@ -1,9 +1,9 @@
-"""Let entry processes reach the owner of each cell, over gRPC.
+"""Connect entry processes to each other over gRPC.
 
-PeerServer answers for the cells owned here.  PeerLink is the one task per
-peer: it asks the peer every period what its cells have room for, what its
-customers use and how its workers interfere, and carries single calls to
-the peer in between.
+PeerServer answers calls about the cells that this process owns.  PeerLink
+has one thread per peer that polls the peer's status: the free capacity of
+its cells, the processors its customers use and the interference on its
+workers.  Calls about single jobs use the same connection.
 """
 
 import dataclasses
@@ -40,7 +40,7 @@
 
 
 class PeerServer(pb_grpc.PeerServicer):
-    """Answer the peers about the cells owned here."""
+    """Serve the Peer gRPC service for the cells this process owns."""
 
     def __init__(self, opts: options.Options, name: str,
                  cells: cells_mod.Cells,
@@ -60,15 +60,16 @@
             existing = table.get(request.job.job_id)
             if existing is not None and (existing.state == jobtable.MOVED
                                          and existing.hops < request.job.hops):
-                # The job left here earlier and comes back: what we know
-                # is where it went then.  A repeated hand-over of a copy
-                # that we had taken has no more hops than our own record.
+                # The job moved away earlier and returns, so the existing
+                # record is only its forwarding record.  A repeated transfer
+                # of a copy accepted before has no more hops than that
+                # record.
                 existing = None
             if existing is None:
                 if not table.healthy or table.full():
                     # Refuse before anything is recorded, so that "not
                     # run" is true: a job staged while the store is down
-                    # might be committed after its caller was told no.
+                    # might be committed after its caller was refused.
                     return pb.SubmitReply(
                         outcome=NOT_RUN,
                         detail="store unavailable" if not table.healthy
@@ -132,7 +133,7 @@
 
 
 def serve(server: PeerServer, host: str, port: int) -> grpc.Server:
-    """Start answering peers on host:port; return the gRPC server."""
+    """Start and return the gRPC server for peers on host:port."""
     listener = channels.server(threads=32)
     pb_grpc.add_PeerServicer_to_server(server, listener)
     listener.add_insecure_port(f"{host}:{port}")
@@ -142,7 +143,7 @@
 
 @dataclasses.dataclass
 class PeerLink:
-    """The connection to one peer and what it last said of itself."""
+    """The connection to a peer and the last status it reported."""
 
     member: membership.Member
     own_name: str
@@ -156,7 +157,7 @@
         self.last_status_at = 0.0
 
     def run(self) -> None:
-        """Ask the peer for its status every period until stopped."""
+        """Poll the peer's status every STATUS_PERIOD_S until stopped."""
         while not self.stopped.wait(STATUS_PERIOD_S):
             try:
                 self.status = self.stub.Status(
@@ -167,20 +168,21 @@
             except grpc.RpcError:
                 continue
             self.last_status_at = time.monotonic()
-            # The store may be down since it accepted a change that this
-            # peer has seen and we have not; the revision decides.
+            # If the store went down right after it accepted a rule change,
+            # the peer may know the change and this process may not.  The
+            # rules with the higher revision apply.
             if self.status.rules_revision > self.rule_cache.current.revision:
                 self.rule_cache.update_if_newer(rulecache.parse(
                     self.status.rules, self.status.rules_revision))
         self.channel.close()
 
     def has_recent_status(self) -> bool:
-        """Return whether the peer answered lately."""
+        """Return whether the last status is younger than MAX_STATUS_AGE_S."""
         return time.monotonic() - self.last_status_at < MAX_STATUS_AGE_S
 
 
 class Peers:
-    """Every peer of this entry process, and calls to cell owners."""
+    """The links to all peers, and the calls to owners of cells."""
 
     def __init__(self, opts: options.Options, name: str,
                  server: PeerServer,
@@ -195,7 +197,7 @@
         self.own_status = pb.StatusReply()
 
     def run(self) -> None:
-        """Keep one link per live peer and move jobs that wait here."""
+        """Update links and transfer moving jobs until stopped."""
         while not self.stopped.wait(STATUS_PERIOD_S):
             self.update_links()
             self.own_status = self.server.Status(pb.StatusRequest(
@@ -205,7 +207,7 @@
             link.stopped.set()
 
     def update_links(self) -> None:
-        """Open links to new members and close those of members gone."""
+        """Open links to new members and close links to departed ones."""
         live_peers = {n: m for n, m in self.members.members.items()
                       if n != self.members.id}
         with self.lock:
@@ -221,22 +223,22 @@
                                      name=f"peer-{name}").start()
 
     def statuses(self) -> list[pb.StatusReply]:
-        """Return what is known now of every entry process, this one too."""
+        """Return the own status, then the recent statuses of all peers."""
         with self.lock:
             return [self.own_status] + [
                 link.status for link in self.links.values()
                 if link.has_recent_status()]
 
     def interference(self) -> dict[str, float]:
-        """Return the last reported interference per worker."""
+        """Return the last reported interference by worker name."""
         return {w.worker: w.interference for status in self.statuses()
                 for cell in status.cells for w in cell.workers}
 
     def usage(self) -> dict[str, float]:
-        """Return the processors per customer at the peers, as last heard.
+        """Return the processors in use at the peers, by customer.
 
-        It is as old as the peers' last status, so a burst may overshoot a
-        quota by what the peers place within a status period.
+        The values are as old as the peers' last statuses, so a burst may
+        exceed a quota by what the peers place within STATUS_PERIOD_S.
         """
         cpus_by_customer: dict[str, float] = {}
         for status in self.statuses()[1:]:
@@ -246,7 +248,11 @@
         return cpus_by_customer
 
     def move_target(self, source_cell: int, demand: options.Capacity) -> int:
-        """Return another cell with room for demand, or NO_CELL."""
+        """Return another cell with free capacity for demand, or NO_CELL.
+
+        Cells with queued jobs are skipped; the cell with the most free
+        processors is preferred.
+        """
         best_cell, best_cpus = jobtable.NO_CELL, 0.0
         for status in self.statuses():
             for cell in status.cells:
@@ -278,14 +284,14 @@
 
     def submit(self, cell: int, record: jobtable.JobRecord
                ) -> pb.SubmitReply:
-        """Hand a job to the owner of a cell."""
+        """Submit a job to the owner of a cell."""
         return self._call(cell, "Submit",
                           pb.SubmitRequest(cell=cell, job=record.message()),
                           pb.SubmitReply(outcome=UNKNOWN),
                           pb.SubmitReply(outcome=NOT_OWNER))
 
     def show(self, cell: int, job_id: str) -> pb.ShowReply:
-        """Ask the owner of a cell for a job."""
+        """Get a job's record from the owner of a cell."""
         return self._call(cell, "Show",
                           pb.JobQuery(cell=cell, job_id=job_id),
                           pb.ShowReply(outcome=UNKNOWN),
@@ -299,7 +305,10 @@
                           pb.ShowReply(outcome=NOT_OWNER))
 
     def transfer_moving_jobs(self) -> None:
-        """Hand each job marked as moving to the cell it moves to."""
+        """Transfer each moving job whose mark is durable to its new cell.
+
+        Also expires at most one forwarding record per cell.
+        """
         for cell in self.server.cells.all():
             for record in cell.table.in_state(jobtable.MOVING):
                 if cell.table.durable(record.job_id):
@@ -307,7 +316,11 @@
             self._expire_forwarding_record(cell)
 
     def _expire_forwarding_record(self, cell: cell_mod.Cell) -> None:
-        """End the oldest pointer whose job has ended, one a round."""
+        """Finish the oldest forwarding record if its job has finished.
+
+        Only one record is checked per call, and only if it is older than
+        the job retention.
+        """
         forwarding_records = cell.table.in_state(jobtable.MOVED)
         if not forwarding_records:
             return
@@ -324,15 +337,16 @@
                 return
             if job_finished:
                 current.state = reply.job.state or jobtable.DONE
-            # Otherwise look at it again a retention later.
+            # Otherwise check it again after another retention period.
             current.finished_at = time.time()
             cell.table.stage(current)
 
     def _transfer_job(self, cell: cell_mod.Cell,
                       record: jobtable.JobRecord) -> None:
-        # The mark is durable before the job is handed over, and the target
-        # takes a job id once, so a crash on either side at any point leads
-        # to the same hand-over again and to one copy that can run.
+        # The MOVING state is durable before the job is transferred, and the
+        # target accepts a job id only once.  A crash on either side at any
+        # point therefore repeats the same transfer and leaves one copy that
+        # can run.
         transferred = dataclasses.replace(
             record, state=jobtable.QUEUED, worker="",
             moved_to=jobtable.NO_CELL, hops=record.hops + 1)
@@ -354,5 +368,5 @@
             cell.table.stage(current)
 
     def stop(self) -> None:
-        """Stop the links."""
+        """Stop run(), which then stops the links."""
         self.stopped.set()
--- a/sycamorefield/retention.py
+++ b/sycamorefield/retention.py
@@ -1,9 +1,9 @@
-"""Have the key-value service remove records that have grown old.
+"""Let the key-value service delete records after a retention period.
 
-Each record is bound to a lease that is never renewed.  A lease lasts twice
-as long as records must be kept and takes new records for the first half of
-its life, so that every record is kept long enough, and thousands of them
-cost one lease and no write to remove.
+Each record is bound to a lease that is never renewed.  The TTL of a lease is
+twice the retention period, and new records are bound to it only in the first
+half of that time.  Every record is thus kept for at least the retention
+period, and deleting thousands of records takes one lease and no writes.
 """
 
 import time
@@ -17,7 +17,7 @@
 
 
 class RetentionLease:
-    """The lease that records written now are bound to."""
+    """The lease to which new records are bound."""
 
     def __init__(self, kv: kvclient.Client, retention_s: float = 0.0) -> None:
         self.kv = kv
@@ -26,14 +26,14 @@
         self.granted_at = 0.0
 
     def lease(self) -> kvclient.Outcome[int]:
-        """Return the lease to bind a record to (0: it is never removed)."""
+        """Return the lease for a new record (NO_LEASE: kept forever)."""
         if not self.retention_s:
             return result.Success(NO_LEASE)
         now = time.monotonic()
         if self.lease_id and now - self.granted_at < self.retention_s:
             return result.Success(self.lease_id)
-        # Two threads may both get here; then one lease too many lapses
-        # unused.  A lock would hold every request while the store is down.
+        # If two threads get here at once, one lease expires unused.  A lock
+        # instead would block every request while the store is down.
         granted = self.kv.grant(int(2000 * self.retention_s))
         if isinstance(granted, result.Success):
             self.lease_id = granted.unwrap()
@@ -41,8 +41,8 @@
         return granted
 
     def handle_write_error(self, error: kvclient.KvError) -> None:
-        """Take note of a failed write: the lease may be gone."""
-        # The store may cut leases short; bound to one that is gone, every
-        # further record would be refused, so the next one gets a new one.
+        """Drop the lease if a write failed because it no longer exists."""
+        # The store may end a lease early.  Writes bound to a lease that is
+        # gone are refused, so the next record gets a new lease.
         if error.status == NOT_FOUND:
             self.lease_id = NO_LEASE
--- a/sycamorefield/routing.py
+++ b/sycamorefield/routing.py
@@ -1,10 +1,10 @@
 """Choose the backend server for each latency-critical request.
 
-Backends come from the platform's VM list, which lags; the router also uses
-its own evidence: a backend that refused a connection or answered "leaving"
-is kept out for a while.  How a backend is chosen among the rest varies:
-LeastExpected is ours, BetterOfTwo is what earlier versions did and Blind is
-the naive version the measurements compare against.
+The states of backends come from the platform's VM list, which lags behind.
+The router therefore also excludes, for EXCLUSION_S, a backend that failed a
+call or answered that it is leaving.  A load balancing policy chooses among
+the other backends: LeastExpectedSlowdown is the default; PowerOfTwoChoices
+and RandomChoice are baselines for benchmarks.
 """
 
 import abc
@@ -26,8 +26,8 @@
 SLOWDOWN_DECAY_S = 10.0
 EXCLUSION_S = 5.0
 OTHER_ZONE_PENALTY = 0.15
-# Reports lag: a worker that takes noisy work may be noisy already.  Between
-# equal reports the workers kept quiet go first.
+# Reports lag, so a worker that accepts noisy work may be noisy already.  At
+# equal reported interference, workers reserved for quiet work are preferred.
 NOISY_WORKER_PENALTY = 0.5
 MIN_CANDIDATES = 8
 CANDIDATE_SHARE = 0.1
@@ -35,10 +35,11 @@
 
 @dataclasses.dataclass
 class BackendState:
-    """What the router knows of one backend server.
+    """The router's state of one backend server.
 
-    slowdown is a moving average of measured latency over the latency that
-    the work declares; interference is what the worker last reported.
+    slowdown is a moving average of the ratio of a call's latency to the
+    latency that its work declares.  interference is the value last reported
+    by the worker.  quiet means that no noisy work is placed on the worker.
     """
 
     name: str
@@ -54,16 +55,19 @@
     in_flight: int = 0
 
     def usable(self, now: float) -> bool:
-        """Return whether new work may go here now."""
+        """Return whether the backend may get new requests now."""
         return self.state == "live" and now >= self.excluded_until
 
     def decayed_slowdown(self, now: float) -> float:
-        """Return the measured slowdown, forgotten bit by bit when unused."""
+        """Return the slowdown, decayed towards 1 since the last call."""
         age = max(0.0, now - self.measured_at)
         return 1.0 + (self.slowdown - 1.0) * math.exp(-age / SLOWDOWN_DECAY_S)
 
     def expected_slowdown(self, zone: str, now: float) -> float:
-        """Return the slowdown to expect here, zone and queue aside."""
+        """Return the expected slowdown for a caller in zone, without queueing.
+
+        It includes the penalties for other zones and for noisy workers.
+        """
         penalty = 0.0 if self.zone == zone else OTHER_ZONE_PENALTY
         if not self.quiet:
             penalty += NOISY_WORKER_PENALTY
@@ -71,35 +75,35 @@
                    self.decayed_slowdown(now)) + penalty
 
     def record_slowdown(self, slowdown: float, now: float) -> None:
-        """Take in one measured latency over the declared one."""
+        """Add the slowdown of one call to the moving average."""
         previous = self.decayed_slowdown(now)
         self.slowdown = previous + EWMA_WEIGHT * (slowdown - previous)
         self.measured_at = now
 
 
 class LoadBalancingPolicy(abc.ABC):
-    """Pick one of the usable backends."""
+    """Choose a backend among the usable ones."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
 
     def refresh(self, usable: list[BackendState], zone: str) -> None:
-        """Prepare for picks from these backends, a few times a second."""
+        """Update the policy's state; called a few times a second."""
 
     @abc.abstractmethod
     def pick(self, usable: list[BackendState], zone: str) -> BackendState:
-        """Return one of usable, which is not empty."""
+        """Return one of usable, which is never empty."""
 
 
 class RandomChoice(LoadBalancingPolicy):
-    """Pick at random."""
+    """Pick a random backend."""
 
     def pick(self, usable: list[BackendState], zone: str) -> BackendState:
         return self.random.choice(usable)
 
 
 class PowerOfTwoChoices(LoadBalancingPolicy):
-    """Pick the better of two random backends by measured latency."""
+    """Pick the better of two random backends by slowdown and queue."""
 
     def pick(self, usable: list[BackendState], zone: str) -> BackendState:
         now = time.monotonic()
@@ -110,12 +114,13 @@
 
 
 class LeastExpectedSlowdown(LoadBalancingPolicy):
-    """Pick the least expected slowdown among a front of good backends.
+    """Pick the candidate with the least expected slowdown.
 
-    The front is chosen a few times a second from what workers reported
-    and what was measured, so a pick costs the same on a fleet of any
-    size.  Within it the queue counts too: a quiet backend takes most of
-    the work until its slots fill, then the next best shares it.
+    The candidates are chosen a few times a second by reported interference
+    and observed slowdown, so that each pick compares only a few backends
+    of a large fleet.  Among the candidates the number of requests in flight
+    counts too: the best backend gets most requests until its slots fill up,
+    then the next best gets some as well.
     """
 
     def __init__(self, seed: int) -> None:
@@ -139,7 +144,7 @@
 
 
 class Router:
-    """Hold the backend views and pick among them."""
+    """Track the states of all backends and pick one for each request."""
 
     def __init__(self, opts: options.Options, zone: str,
                  http: urllib3.PoolManager,
@@ -158,7 +163,7 @@
         self.interference: typing.Callable[[], dict[str, float]] = dict
 
     def refresh(self) -> bool:
-        """Read the VM list once; return whether it answered."""
+        """Read the VM list once; return whether that succeeded."""
         try:
             reply = self.http.request("GET", self.opts.vm_list_url,
                                       timeout=1.0, retries=False)
@@ -178,7 +183,7 @@
         return True
 
     def run(self, period_s: float) -> None:
-        """Refresh list and reports every period seconds until stopped."""
+        """Update states, interference and policy every period_s seconds."""
         while not self.stopped.is_set():
             self.refresh()
             reported = self.interference()
@@ -193,7 +198,10 @@
         return [b for b in self.backends.values() if b.usable(now)]
 
     def pick(self, zone: str | None = None) -> BackendState | None:
-        """Return the backend to use, or None when none is usable."""
+        """Return the backend for a request, or None if none is usable.
+
+        The request counts as in flight until record_call().
+        """
         with self.lock:
             usable = self._usable()
             if not usable:
@@ -204,7 +212,7 @@
 
     def record_call(self, backend: BackendState,
                     slowdown: float | None) -> None:
-        """Record one call: latency over the declared one, None on failure."""
+        """Record the end of a call; slowdown is None if the call failed."""
         now = time.monotonic()
         with self.lock:
             backend.in_flight -= 1
@@ -214,7 +222,7 @@
             backend.record_slowdown(slowdown, now)
 
     def mark_leaving(self, name: str) -> None:
-        """Keep a backend out because it said it is leaving."""
+        """Exclude a backend that answered that it is leaving."""
         with self.lock:
             backend = self.backends[name]
             backend.excluded_until = time.monotonic() + EXCLUSION_S
--- a/sycamorefield/ruleadmin.py
+++ b/sycamorefield/ruleadmin.py
@@ -1,10 +1,10 @@
-"""Change the operators' rules with compare-and-swap on their revision.
+"""Edit the operators' rules by compare-and-swap on their revision.
 
-Every change reads the rules, edits the list and writes it back only if
-nobody wrote in between.  An operator who names the revision they saw gets
-a conflict when another got there first; one who does not is retried on
-the fresh list, because edits by rule name still mean the same thing.  A
-write whose reply was lost is read back before it is tried again.
+An edit reads the rules, changes the list and writes it only if the stored
+rules have not changed since.  If the operator gives an expected revision, a
+concurrent change results in a conflict.  Otherwise the edit is applied to
+the new list, because edits by rule name keep their meaning.  After a write
+whose reply was lost, the rules are read back before another attempt.
 """
 
 import typing
@@ -25,7 +25,7 @@
 
 
 class RuleAdmin:
-    """Apply operators' edits to the stored rules."""
+    """Apply edits by operators to the stored rules."""
 
     def __init__(self, kv: kvclient.Client, rule_cache: rulecache.RuleCache,
                  operator: str) -> None:
@@ -35,17 +35,17 @@
 
     def read(self) -> result.Result[rules.RuleSet, errors.Problem]:
         """Return the stored rules."""
-        got = self.kv.get(rulecache.RULES_KEY)
-        if not isinstance(got, result.Success):
-            return result.Failure(self._unavailable(got.failure()))
-        item = got.unwrap()
+        reply = self.kv.get(rulecache.RULES_KEY)
+        if not isinstance(reply, result.Success):
+            return result.Failure(self._unavailable(reply.failure()))
+        item = reply.unwrap()
         if item is None:
             return result.Success(rules.RuleSet())
         return result.Success(rulecache.parse(item.value, item.mod_revision))
 
     def apply_edit(self, edit: Edit, expected: int | None = None
                    ) -> result.Result[rules.RuleSet, errors.Problem]:
-        """Apply edit to the stored rules; return the rules written."""
+        """Apply an edit to the stored rules; return the new rules."""
         for _ in range(MAX_ATTEMPTS):
             current = self.read()
             if not isinstance(current, result.Success):
@@ -72,8 +72,9 @@
             failure = swap.failure()
             if not failure.maybe_applied:
                 return result.Failure(self._unavailable(failure))
-            # The reply was lost: the write may hold.  If the stored value
-            # is ours, the change was accepted; otherwise try again.
+            # The reply was lost, but the write may have been applied.  If
+            # the stored value is the new one, the edit was accepted;
+            # otherwise try again.
             read_back = self.kv.get(rulecache.RULES_KEY).value_or(None)
             if read_back is not None and read_back.value == value:
                 return result.Success(self._publish(
@@ -95,7 +96,7 @@
 
 
 def add(rule: rules.Rule, position: int | None) -> Edit:
-    """Return an edit that inserts rule at position (default: the end)."""
+    """Return an edit that inserts a rule at position (None: the end)."""
     def edit(current: list[rules.Rule]
              ) -> result.Result[list[rules.Rule], errors.Problem]:
         if any(r.name == rule.name for r in current):
@@ -107,7 +108,7 @@
 
 
 def retire(name: str) -> Edit:
-    """Return an edit that removes the named rule."""
+    """Return an edit that removes a rule."""
     def edit(current: list[rules.Rule]
              ) -> result.Result[list[rules.Rule], errors.Problem]:
         remaining = [r for r in current if r.name != name]
@@ -119,7 +120,7 @@
 
 
 def move(name: str, position: int) -> Edit:
-    """Return an edit that moves the named rule to position."""
+    """Return an edit that moves a rule to position."""
     def edit(current: list[rules.Rule]
              ) -> result.Result[list[rules.Rule], errors.Problem]:
         moved = [r for r in current if r.name == name]
@@ -133,7 +134,7 @@
 
 
 def replace(new: list[rules.Rule]) -> Edit:
-    """Return an edit that replaces the whole list."""
+    """Return an edit that replaces all rules."""
     def edit(current: list[rules.Rule]
              ) -> result.Result[list[rules.Rule], errors.Problem]:
         return result.Success(list(new))
--- a/sycamorefield/rulecache.py
+++ b/sycamorefield/rulecache.py
@@ -1,10 +1,10 @@
-"""Keep an entry process's rules in step with the key-value service.
+"""Cache the rules that are stored in the key-value service.
 
-The rules live at one key, /config/rules, as a JSON list.  A watch carries
-each change; when the watch breaks, the process polls until it can watch
-again; while the service is down, peers pass on what they have (peers.py).
-A rule set is only ever replaced by one of a higher revision, so an accepted
-change never reverts here.
+The rules are a JSON list under one key, /config/rules.  A watch delivers
+each change, and polling covers a watch that breaks or hangs.  While the
+service is down, peers send newer rules to each other (see peers.py).  A rule
+set is replaced only by one with a higher revision, so that an accepted
+change is never reverted here.
 """
 
 import threading
@@ -21,19 +21,19 @@
 
 
 def parse(raw: bytes, revision: int) -> rules.RuleSet:
-    """Build a rule set from the stored JSON list."""
+    """Parse a rule set from its stored JSON list."""
     models = RULE_LIST_ADAPTER.validate_json(raw) if raw else []
     return rules.RuleSet(revision,
                          tuple(rules.from_model(m) for m in models))
 
 
 def encode(rule_list: list[rules.Rule]) -> bytes:
-    """Encode rules as stored."""
+    """Encode rules as they are stored."""
     return kvclient.encode([rules.to_dict(rule) for rule in rule_list])
 
 
 class RuleCache:
-    """Hold the newest rule set seen and follow the store."""
+    """Hold the newest known rule set and follow changes in the store."""
 
     def __init__(self, kv: kvclient.Client, poll_period_s: float) -> None:
         self.kv = kv
@@ -44,7 +44,7 @@
         self.watch_stream: typing.Any = None
 
     def update_if_newer(self, ruleset: rules.RuleSet) -> bool:
-        """Take ruleset if it is newer than the current one."""
+        """Replace the rules if ruleset is newer; return whether it was."""
         with self.lock:
             if ruleset.revision <= self.current.revision:
                 return False
@@ -54,32 +54,32 @@
         return True
 
     def loaded(self) -> bool:
-        """Return whether any rules were read yet (an empty list counts)."""
+        """Return whether rules were read; an empty list counts as rules."""
         return self.current.revision > 0
 
     def poll(self) -> bool:
         """Read the rules once; return whether the store answered."""
-        got = self.kv.get(RULES_KEY)
-        if not isinstance(got, kvclient.result.Success):
+        reply = self.kv.get(RULES_KEY)
+        if not isinstance(reply, kvclient.result.Success):
             return False
-        item = got.unwrap()
+        item = reply.unwrap()
         if item is not None:
             self.update_if_newer(parse(item.value, item.mod_revision))
         return True
 
     def run_poll(self) -> None:
-        """Read the rules every poll period, even while a watch is up.
+        """Read the rules every poll period, even during a working watch.
 
-        A watch can hang without an error (a stand-in restarted behind a
-        proxy, a lost stream); the poll bounds how stale the rules can get
-        by the poll period whatever the watch does.
+        A watch can hang without an error, for example after a restart of
+        the service behind a proxy or when the stream is lost.  Polling
+        limits the age of the rules to the poll period in that case.
         """
         while not self.stopped.is_set():
             self.poll()
             self.stopped.wait(self.poll_period_s)
 
     def run_watch(self) -> None:
-        """Watch the rules key, starting again whenever the watch breaks."""
+        """Watch the rules key; restart the watch whenever it breaks."""
         while not self.stopped.is_set():
             try:
                 self.watch_stream = self.kv.watch(RULES_KEY, start_revision=(
@@ -91,15 +91,15 @@
             except kvclient.grpc.RpcError as exc:
                 if self.stopped.is_set():
                     return
-                # A broken watch would leave this process on old rules
-                # until the next poll; say so in the log, and watch again.
+                # The rules may be stale until the next poll, so log it and
+                # watch again.
                 events.emit(events.WATCH_LOST, key=RULES_KEY,
                             status=str(exc.code() if hasattr(exc, "code")
                                        else exc))
             self.stopped.wait(self.poll_period_s)
 
     def stop(self) -> None:
-        """Stop following the store."""
+        """Stop polling and watching."""
         self.stopped.set()
         if self.watch_stream is not None:
             self.watch_stream.cancel()
--- a/sycamorefield/rules.py
+++ b/sycamorefield/rules.py
@@ -1,8 +1,9 @@
-"""Hold operators' ordered "when ... then ..." rules and decide by them.
+"""Define the operators' ordered "when ... then ..." rules.
 
-The first rule whose condition holds decides; with none, work is admitted at
-normal priority.  A rule set carries the key-value revision it was read at,
-so that an entry process only ever moves forward.
+The first rule whose condition matches decides on a request; work that
+matches no rule is admitted at normal priority.  A rule set has the revision
+of the key it was read from, so that an entry process never replaces its
+rules with older ones.
 """
 
 import dataclasses
@@ -15,7 +16,7 @@
 
 
 class ConditionModel(pydantic.BaseModel):
-    """Check the "when" part of a rule at the border."""
+    """Validate the "when" part of a rule in a request or in the store."""
 
     model_config = pydantic.ConfigDict(extra="forbid")
     customer: str | None = None
@@ -25,7 +26,7 @@
 
 
 class ActionModel(pydantic.BaseModel):
-    """Check the "then" part of a rule at the border."""
+    """Validate the "then" part of a rule in a request or in the store."""
 
     model_config = pydantic.ConfigDict(extra="forbid")
     action: str = pydantic.Field(default=ADMIT, pattern="^(admit|reject)$")
@@ -36,7 +37,7 @@
 
 
 class RuleModel(pydantic.BaseModel):
-    """Check one rule at the border."""
+    """Validate a rule in a request or in the store."""
 
     model_config = pydantic.ConfigDict(extra="forbid")
     name: str = pydantic.Field(min_length=1, max_length=80,
@@ -47,14 +48,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Condition:
-    """Say which requests a rule is about; None matches anything."""
+    """The requests that a rule applies to; None matches anything."""
 
     customer: str | None = None
     work: str | None = None
     kind: str | None = None
 
     def matches(self, customer: str, work: str, kind: str) -> bool:
-        """Return whether a request of this customer, work and kind matches."""
+        """Return whether the condition matches a request."""
         return ((self.customer is None or self.customer == customer)
                 and (self.work is None or self.work == work)
                 and (self.kind is None or self.kind == kind))
@@ -62,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Action:
-    """Say what is done with a matching request."""
+    """What to do with a request that matches a rule."""
 
     action: str = ADMIT
     priority: str = "normal"
@@ -81,7 +82,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Decision:
-    """The outcome of the rules for one request."""
+    """The name of the rule that decided on a request, and its action."""
 
     rule: str
     action: Action
@@ -91,30 +92,30 @@
 
 
 def from_model(model: RuleModel) -> Rule:
-    """Turn a checked rule model into a rule."""
+    """Convert a validated rule model to a rule."""
     return Rule(model.name, Condition(**model.when.model_dump()),
                 Action(**model.then.model_dump()))
 
 
 def to_dict(rule: Rule) -> dict[str, object]:
-    """Turn a rule into its JSON shape."""
+    """Convert a rule to its JSON representation."""
     return dataclasses.asdict(rule)
 
 
 @dataclasses.dataclass(frozen=True)
 class RuleSet:
-    """An ordered list of rules at one key-value revision."""
+    """An ordered list of rules and the revision of the stored list."""
 
     revision: int = 0
     rules: tuple[Rule, ...] = ()
 
     def decide(self, customer: str, work: str, kind: str) -> Decision:
-        """Return the decision of the first matching rule."""
+        """Return the decision of the first matching rule, or the default."""
         for rule in self.rules:
             if rule.when.matches(customer, work, kind):
                 return Decision(rule.name, rule.then)
         return DEFAULT_DECISION
 
     def names(self) -> list[str]:
-        """Return the rule names in order."""
+        """Return the names of the rules in order."""
         return [rule.name for rule in self.rules]
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -39,7 +39,7 @@
         return result.Success(idempotency.RecordedRequest(
             idempotency.RecordKind.NEW))
 
-    def record_not_dispatched(self, key, recorded):
+    def delete_record(self, key, recorded):
         pass
 
     def record_unknown_outcome(self, key, recorded):
