--- a/sycamorefield/entry.py
+++ b/sycamorefield/entry.py
@@ -243,11 +243,11 @@
             self.idempotency_store.delete_record(key, record)
 
     def _report_answer(self, request_id: str, work: options.Work,
-                       seconds: float, outcome: dispatch.Outcome) -> None:
+                       latency_s: float, outcome: dispatch.Outcome) -> None:
         self.increment_counter("answered")
-        self.latencies.record(work.name, seconds)
+        self.latencies.record(work.name, latency_s)
         events.emit(events.REQUEST_DONE, request_id=request_id,
-                    work=work.name, ms=round(seconds * 1000, 3),
+                    work=work.name, ms=round(latency_s * 1000, 3),
                     worker=outcome.answer.get("worker"))
 
     def _report_failure(self, request_id: str, work: options.Work,
@@ -288,7 +288,7 @@
         return self.jobs.show(job_id).map(job_answer)
 
     def cancel_job(self, job_id: str) -> api.Answer:
-        """Cancel a job; stop it first if it is running."""
+        """Cancel a job: at once if queued, by stopping it if running."""
         cancelled = self.jobs.cancel(job_id)
         if isinstance(cancelled, result.Success):
             events.emit(events.JOB_CANCELLED, job=job_id,
--- a/sycamorefield/peers.py
+++ b/sycamorefield/peers.py
@@ -105,11 +105,11 @@
                context: grpc.ServicerContext | None) -> pb.StatusReply:
         statuses = []
         for cell in self.cells.all():
-            room = cell.room()
+            free = cell.room()
             statuses.append(pb.CellStatus(
                 cell=cell.number, room=pb.Resources(
-                    cpus=room.cpus, memory_mb=room.memory_mb,
-                    accelerators=room.accelerators),
+                    cpus=free.cpus, memory_mb=free.memory_mb,
+                    accelerators=free.accelerators),
                 queued=len(cell.table.in_state(jobtable.QUEUED)),
                 workers=[pb.WorkerStatus(worker=link.machine.name,
                                          interference=link.interference)
@@ -256,12 +256,12 @@
         best_cell, best_cpus = jobtable.NO_CELL, 0.0
         for status in self.statuses():
             for cell in status.cells:
-                room = options.Capacity(cell.room.cpus, cell.room.memory_mb,
+                free = options.Capacity(cell.room.cpus, cell.room.memory_mb,
                                         cell.room.accelerators)
                 if (cell.cell != source_cell and not cell.queued
-                        and room.fits(options.ZERO, demand)
-                        and room.cpus > best_cpus):
-                    best_cell, best_cpus = cell.cell, room.cpus
+                        and free.fits(options.ZERO, demand)
+                        and free.cpus > best_cpus):
+                    best_cell, best_cpus = cell.cell, free.cpus
         return best_cell
 
     def _call(self, cell: int, method: str, request: typing.Any,
--- a/sycamorefield/routing.py
+++ b/sycamorefield/routing.py
@@ -27,7 +27,7 @@
 EXCLUSION_S = 5.0
 OTHER_ZONE_PENALTY = 0.15
 # Reports lag, so a worker that accepts noisy work may be noisy already.  At
-# equal reported interference, workers reserved for quiet work are preferred.
+# equal reported interference, workers without noisy work are preferred.
 NOISY_WORKER_PENALTY = 0.5
 MIN_CANDIDATES = 8
 CANDIDATE_SHARE = 0.1
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Tell callers the truth: not run only when not run, and a final answer."""
+"""Test the outcomes that callers are told: never a wrong "not run"."""
 
 import dataclasses
 import http.server
@@ -15,7 +15,7 @@
 
 
 class FakeBackend(http.server.BaseHTTPRequestHandler):
-    """Answer every request as the class's attributes say; count them."""
+    """Answer requests as the class attributes say, and record them."""
 
     status = 200
     statuses: list[int] = []
@@ -27,7 +27,7 @@
 
     @staticmethod
     def on_run():
-        """Do nothing; a test may put a fault here."""
+        """Called while a request runs; a test may inject a fault here."""
 
     def do_POST(self):
         body = json.loads(self.rfile.read(int(self.headers["Content-Length"])))
@@ -56,7 +56,7 @@
 
 
 def make_entry_process(kv, backend_port=None, name="entry-1", read_rules=True):
-    """Return an entry process (not started) whose backends are one port."""
+    """Return an entry process, not started, with one port for all backends."""
     opts = standins.sample_options(kv.port)
     ports = [backend_port or standins.free_port() for _ in opts.machines]
     machines = tuple(dataclasses.replace(m, http_port=p)
@@ -72,13 +72,13 @@
 
 
 def certificate_request(request_id, key="cert-1"):
-    """Return a certificate-issue request."""
+    """Return a request to issue a certificate, which must not run twice."""
     return api.RequestModel(customer="surveyors", work="certificate-issue",
                             idempotency_key=key, request_id=request_id)
 
 
 def serve_fake_backend(**behaviour):
-    """Serve a fake backend with the given behaviour; return it."""
+    """Start a fake backend; return its server and its handler class."""
     handler = type("Handler", (FakeBackend,), dict(behaviour, served=[]))
     server = http.server.ThreadingHTTPServer(("127.0.0.1", 0), handler)
     threading.Thread(target=server.serve_forever, daemon=True).start()
@@ -86,16 +86,12 @@
 
 
 def test_retry_after_not_run_gets_a_final_answer(kv):
-    """Answer a retry of a request that was not run; never "in progress".
+    """Check that a retry of a request that was not run is processed.
 
-    Symptom: a caller told "not run, come back in 1 s" comes back with the
-    same idempotency key and is told "in progress" for ever.
-
-    Sequence: a certificate issue is recorded as started; no backend takes
-    a connection; the caller is told no backend ran it; it retries.
-
-    Cause: the record made before dispatch stayed "started" although
-    nothing was dispatched, so every retry found it and waited on it.
+    If no backend accepts a connection, the caller is told that the request
+    was not run.  The record made before dispatch must be deleted then.
+    Otherwise it stays "started", and every retry with the same idempotency
+    key is told "in progress" forever.
     """
     process = make_entry_process(kv)
     first = process.serve_request(certificate_request("a"))
@@ -107,7 +103,7 @@
 CERTIFICATE_ISSUE = "certificate-issue"
 HULL_CHECK = "hull-check"
 OUTCOMES = [
-    # what the backend does, the work, the code told, how often it was sent
+    # case, backend behaviour, work, error code, number of requests sent
     ("server error after running", {"status": 500}, CERTIFICATE_ISSUE,
      "outcome-unknown", 1),
     ("answer for another request", {"answers_wrong_id": True},
@@ -128,17 +124,13 @@
                          ids=[row[0] for row in OUTCOMES])
 def test_not_run_is_said_only_when_not_run(kv, case_name, behaviour, work,
                                            code, sent):
-    """Say "outcome unknown" when the backend may have run the request.
-
-    Symptom: a caller is told a certificate issue was not run, retries with
-    a new key, and two certificates are issued.
+    """Check for "outcome unknown" when a backend may have run the request.
 
-    Sequence: the backend takes the request and answers 500, or answers
-    with another request's id; the entry process reports the outcome.
-
-    Cause: every answer but 200-with-our-id was reported as "not run",
-    although the backend had the request in hand; later, a refusal by a
-    second backend hid that the first may have run it.
+    A caller who is told "not run" retries with a new key.  If the backend
+    did run the request, two certificates are issued.  A backend that answers
+    500, answers for another request or truncates its answer may have run the
+    request.  A refusal by a second backend must not hide that the first one
+    may have run it.
     """
     server, handler = serve_fake_backend(**behaviour)
     try:
@@ -190,7 +182,7 @@
 
 
 RETRIES = [
-    # what happened to the first try, backend status, code of the retry
+    # the first try and its retry, backend status, error code of the retry
     (_retry_after_unknown_outcome, 500, "outcome-unknown"),
     (_retry_after_recording_process_died, 200, "outcome-unknown"),
     (_retry_while_recording_process_is_alive, 200, "in-progress"),
@@ -201,22 +193,19 @@
 @pytest.mark.parametrize("send_and_retry,status,code", RETRIES,
                          ids=[row[0].__name__[1:] for row in RETRIES])
 def test_retry_is_never_in_progress_for_ever(kv, send_and_retry, status, code):
-    """Answer a retry once nobody works on the request any more.
-
-    Symptom: a caller who retries a certificate issue is told "in
-    progress, come back in 1 s" on every retry, for ever.
-
-    Sequence: the backend answers 500, or the entry process that recorded
-    the request dies, or the store is down while the answer is written.
+    """Check that a retry is "in progress" only while its request is.
 
-    Cause: the record stayed "started" whatever became of the request.
+    The record of a request must not stay "started" if the backend answers
+    500, if the entry process that wrote the record dies or if the store is
+    down when the answer is written.  Otherwise every retry is told "in
+    progress" forever.
     """
     server, handler = serve_fake_backend(status=status)
     try:
         answer = send_and_retry(kv, server.server_address[1])
-        got = None if isinstance(answer, result.Success) else (
+        error_code = None if isinstance(answer, result.Success) else (
             answer.failure().code.name)
-        assert got == code
+        assert error_code == code
         assert len(handler.served) <= 1
     finally:
         server.shutdown()
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -1,10 +1,9 @@
-"""Run a non-idempotent request at most once, whatever the store does.
+"""Test that a non-idempotent request runs at most once.
 
-A hypothesis state machine sends certificate issues through a real entry
-process's request path to a backend that counts runs, while the key-value
-service goes down, comes back and loses replies.  The same machine run
-against a naive ledger, which records only the answer, finds a double run:
-that is the differential half of the proof.
+A hypothesis state machine sends certificate requests through real entry
+processes to a backend that counts runs, while the key-value service goes
+down, comes back and loses replies.  To show that the machine can find a
+second run, it is also run against a naive store that records only answers.
 """
 
 import collections
@@ -27,7 +26,7 @@
 
 
 class NaiveIdempotencyStore(idempotency.IdempotencyStore):
-    """Record only the answer, after dispatch, as a first version might."""
+    """Record only the answer, after dispatch."""
 
     def record_start(self, key, request_id):
         got = self.kv.get(idempotency.KEY_PREFIX + key)
@@ -51,7 +50,7 @@
 
 
 class AtMostOnceMachine(standins.StoreFaults):
-    """Send requests and faults in any order; count runs per key."""
+    """Send requests amid faults in any order; count the runs per key."""
 
     store_class = idempotency.IdempotencyStore
     kv: standins.Kv
@@ -88,7 +87,7 @@
                 assert self._runs()[key] == before, "told not run, but ran"
 
     def teardown(self):
-        # What one example left to write must not reach the next one.
+        # The pending writes of one example must not reach the next one.
         self.kv.faults()
         for process in self.entries:
             process.idempotency_store.pending_writes.join()
@@ -116,22 +115,18 @@
 
 
 def test_request_runs_at_most_once(store_and_backend):
-    """Run each idempotency key at most once under store faults.
+    """Check that each idempotency key runs at most once.
 
-    Symptom: two certificates issued for one request.
-
-    Sequence: a request runs; the store goes down before its answer is
-    written; the caller retries through another entry process.
-
-    Cause guarded against: recording the request only after dispatch; the
-    record made before dispatch turns the retry away.
+    A request runs, the store goes down before the answer is written, and
+    the caller retries through another entry process.  Without a record made
+    before dispatch, two certificates would be issued for one request.
     """
     stateful.run_state_machine_as_test(
         AtMostOnceMachine, settings=HYPOTHESIS_SETTINGS)
 
 
 def test_naive_store_runs_request_twice(store_and_backend):
-    """Show the naive version breaks the promise under the same faults."""
+    """Check that the machine finds a second run with the naive store."""
     naive = type("Naive", (AtMostOnceMachine,), {
                  "store_class": NaiveIdempotencyStore})
     generate_only = settings(HYPOTHESIS_SETTINGS, phases=[Phase.generate])
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Hold worker ownership only while the membership lease holds."""
+"""Test the membership and that cells are owned only under a valid lease."""
 
 import threading
 
@@ -23,16 +23,11 @@
 
 
 def test_claims_are_dropped_when_lease_cannot_be_renewed(kv):
-    """Drop claims when the store cannot renew the lease.
+    """Check that claims are dropped once the lease is over by local clock.
 
-    Symptom: an entry process cut off from the key-value service keeps
-    placing work on workers as their owner, long after its lease lapsed.
-
-    Sequence: entry-1 joins and claims every cell; the store goes down
-    for longer than the membership TTL; entry-1's keep-alives fail.
-
-    Cause: a failed keep-alive was treated like a renewed one, so the
-    process never noticed that its lease had run out by its own clock.
+    The store is down for longer than the membership TTL, and keep-alives
+    fail.  If a failed keep-alive counted as a renewal, the entry process
+    would keep placing work on workers that it no longer owns.
     """
     opts = standins.sample_options(kv.port, member_ttl=1.0, heartbeat=0.2)
     member = _start_member(kv, "entry-1", opts)
@@ -44,15 +39,11 @@
 
 
 def test_ownership_moves_to_new_member_with_a_higher_fence(kv):
-    """Move ownership to a joining member under a higher fence.
-
-    Symptom: two entry processes act as owners of one worker.
+    """Check that a joining member gets its share of cells at higher fences.
 
-    Sequence: entry-1 owns all cells; entry-2 joins; entry-1 gives up
-    what is beyond its share.
-
-    Cause guarded against: a claim without a fence, or a fence that does
-    not grow, would let the old owner's starts be accepted.
+    entry-1 owns all cells and releases those beyond its share when entry-2
+    joins.  Without a fence that grows, workers would still accept starts
+    from the old owner, and a worker would have two owners.
     """
     opts = standins.sample_options(kv.port, member_ttl=1.0, heartbeat=0.2)
     first = _start_member(kv, "entry-1", opts)
@@ -72,17 +63,13 @@
 
 
 def test_member_stays_reachable_after_predecessor_of_same_name_leaves(kv):
-    """Stay a member, reachable, when an older namesake goes away.
-
-    Symptom: a cell's jobs cannot be reached although its owner is up;
-    callers are told for ever that the cell is changing owners.
-
-    Sequence: an entry VM is replaced while its old process still runs;
-    the new process joins under the same name; the old one ends, or its
-    lease lapses.
+    """Check that a member stays reachable when its predecessor leaves.
 
-    Cause: both wrote one member key; the old one's end took it away, and
-    the new one, whose lease was live, never wrote it again.
+    An entry VM is replaced while its old process still runs, and the new
+    process joins under the same name.  If both used one member key, the
+    key would go when the old process ends or its lease expires.  Callers
+    would then be told forever that the cells of the new process are
+    changing owners.
     """
     opts = standins.sample_options(kv.port, member_ttl=1.0, heartbeat=0.2)
     old = _start_member(kv, "entry-1", opts)
@@ -100,7 +87,7 @@
 
 
 def test_deleted_member_key_is_rewritten_under_a_live_lease(kv):
-    """Write the member key again when it vanished under a live lease."""
+    """Check that a deleted member key is rewritten under a valid lease."""
     opts = standins.sample_options(kv.port, member_ttl=5.0, heartbeat=0.2)
     member = _start_member(kv, "entry-1", opts)
     assert deployment.wait_until(
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Show what entry processes learn from each other when the store is gone."""
+"""Test what entry processes send each other, also in a store outage."""
 
 import dataclasses
 import threading
@@ -24,7 +24,7 @@
 
 
 def _start_membership_and_peers(process):
-    """Start an entry process's membership and peers, without its HTTP."""
+    """Start membership and peer links of a process, without HTTP."""
     process.peer_listener = peers.serve(
         process.peer_server, process.opts.host, process.spec.grpc_port)
     for target in (process.members.run, process.peers.run):
@@ -32,15 +32,11 @@
 
 
 def test_accepted_rule_reaches_peers_though_the_store_goes_down(kv):
-    """Bring an accepted rule change to every peer during an outage.
+    """Check that peers get an accepted rule change during an outage.
 
-    Symptom: an operator's accepted change is in force on one entry VM
-    and not on the others, for as long as the store is down.
-
-    Sequence: an operator adds a rule; the store accepts it and goes down
-    before the other entry processes see it.
-
-    Cause: the store was the only way a change travelled.
+    The store accepts a new rule and goes down before the other entry
+    processes read it.  If changes came only from the store, the rule would
+    apply on one entry VM alone until the end of the outage.
     """
     first, second = (test_answers.make_entry_process(kv, name=f"entry-{n}")
                      for n in (1, 2))
@@ -67,15 +63,12 @@
 
 
 def test_no_request_is_decided_before_the_rules_are_read(kv):
-    """Refuse work until the rules are known.
-
-    Symptom: a branch that its rules reject is served.
+    """Check that work is refused until the rules have been read.
 
-    Sequence: an entry VM is replaced while the store is down; the new
-    process takes requests before it has read any rules.
-
-    Cause: no rules and rules not read yet looked alike, and without a
-    matching rule work is admitted.
+    An entry VM is replaced while the store is down.  If rules not read yet
+    were treated like an empty rule list, the new process would admit
+    customers that the rules reject, as work without a matching rule is
+    admitted.
     """
     process = test_answers.make_entry_process(kv, read_rules=False)
     answer = process.serve_request(api.RequestModel(
@@ -89,7 +82,8 @@
 
 
 SUBMISSIONS = [
-    # what the cell knows of the job, the arriving copy's hops, the outcome
+    # state and hops of the existing record, hops of the submitted copy,
+    # outcome
     (None, 0, "accepted"),
     (None, 1, "accepted"),
     (("queued", 1), 1, "exists"),
@@ -102,15 +96,12 @@
 
 @pytest.mark.parametrize("existing,hops,outcome", SUBMISSIONS)
 def test_returning_job_is_accepted_once(kv, existing, hops, outcome):
-    """Take a job that moves back, and no copy of one already taken.
-
-    Symptom: an accepted job waits for ever in a cell that cannot hold it.
-
-    Sequence: a job moves to a cell whose only other worker is lost for
-    good; it would have to move on, also back to where it came from.
+    """Check that a cell accepts a returning job, but no repeated transfer.
 
-    Cause: a job moved once only, because a cell that had it before took
-    its own pointer for the job and the hand-over for a repetition.
+    A job may have to move back to a cell that it left, for example when the
+    last other worker of its new cell is lost for good.  A cell that takes
+    its own forwarding record for the job treats that transfer as a
+    repetition, and the job waits forever in a cell that cannot run it.
     """
     process = test_answers.make_entry_process(kv)
     process.members.join()
@@ -130,7 +121,7 @@
 
 
 def test_quiet_workers_offer_no_capacity_to_moving_jobs(kv):
-    """Offer peers only the room that noisy work may use."""
+    """Check that a cell reports only capacity that noisy work may use."""
     process = test_answers.make_entry_process(kv)
     quiet = sorted(process.opts.quiet_machines)[0]
     cell_number = next(
--- a/tests/test_retention.py
+++ b/tests/test_retention.py
@@ -1,4 +1,4 @@
-"""Remove records of requests once no retry can come, and not before."""
+"""Test that records of requests are removed after retention, not before."""
 
 import time
 
@@ -20,7 +20,7 @@
 
 
 def _record_answered_request(idempotency_store, key):
-    """Run one request to its recorded answer."""
+    """Record a request and its answer."""
     recorded = idempotency_store.record_start(key, "r-" + key).unwrap()
     assert recorded.kind == idempotency.RecordKind.NEW
     idempotency_store.record_answer(key, recorded, {"certificate": key})
@@ -31,9 +31,9 @@
 
 
 RETENTION_CASES = [
-    # how long records are kept, seconds, whether they are ever removed
+    # case, retention in seconds, whether records are removed
     ("bound to a lease", RETENTION_S, True),
-    ("naive: for ever", 0.0, False),
+    ("naive: forever", 0.0, False),
 ]
 
 
@@ -41,20 +41,18 @@
                          ids=[row[0] for row in RETENTION_CASES])
 def test_records_are_removed_only_after_retention(kv, case_name, retention_s,
                                                   removed):
-    """Keep a record for as long as retries may come, then remove it.
+    """Check that a record outlives the retention period and then goes.
 
-    Symptom: the key-value service fills up with old requests.
-
-    Sequence: requests that must not be repeated are recorded, answered
-    and never asked for again.
-
-    Cause: nothing removed their records.
+    Retries must be answered from the record during the retention period.
+    Without removal, records of requests that are never retried would fill
+    up the key-value service.
     """
     idempotency_store = idempotency.IdempotencyStore(
         kv.client, "entry-1", retention_s=retention_s)
     _record_answered_request(idempotency_store, "early")
     time.sleep(RETENTION_S * 0.8)
-    # Bound to the same lease as the first, late in its time.
+    # Bound to the same lease as the first, shortly before the lease stops
+    # taking new records.
     _record_answered_request(idempotency_store, "late")
     time.sleep(RETENTION_S)
     again = idempotency_store.record_start("late", "r-again").unwrap()
@@ -67,13 +65,10 @@
 
 
 def test_lease_that_ends_early_refuses_only_one_request(kv):
-    """Get a new lease when the store has cut the old one short.
-
-    Symptom: every request that must not be repeated is refused.
-
-    Sequence: the store ends the lease early; records cannot be bound.
+    """Check that a lease ended early by the store is replaced.
 
-    Cause guarded against: a lease that is taken for good until its time.
+    If the lease were used until its regular end, no record could be bound
+    to it, and every non-idempotent request would be refused.
     """
     idempotency_store = idempotency.IdempotencyStore(
         kv.client, "entry-1", retention_s=3600.0)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Keep new work off leaving and slow backends."""
+"""Test that new requests avoid leaving and slow backends."""
 
 import dataclasses
 import http.server
@@ -15,7 +15,7 @@
 
 
 class VmListHandler(http.server.BaseHTTPRequestHandler):
-    """Answer with the class's list of VMs, or fail when it is down."""
+    """Answer with the class's list of VMs, or with 503 if it is down."""
 
     vms: list[dict[str, str]] = []
     down = False
@@ -63,7 +63,8 @@
 POLICIES = [routing.LeastExpectedSlowdown,
             routing.PowerOfTwoChoices, routing.RandomChoice]
 REFRESH_MODES = [
-    # how the VM list is followed, whether a leaving backend is picked
+    # case, whether the VM list is read again, whether a leaving backend
+    # is picked
     ("every period", True, False),
     ("naive: read once, at the start", False, True),
 ]
@@ -74,14 +75,10 @@
 @pytest.mark.parametrize("policy", POLICIES)
 def test_leaving_backend_is_not_picked(vm_list, policy, case_name, refreshes,
                                        picked):
-    """Pick no backend that the VM list shows as leaving.
+    """Check that backends are not picked once the VM list says "leaving".
 
-    Symptom: a backend being taken out still gets new requests.
-
-    Sequence: the list marks a backend leaving while requests go on.
-
-    Cause guarded against: a list that was read once, or a front of good
-    backends that outlives the news about one of them.
+    A VM list that is read only once, or a candidate list that is not updated
+    with it, would send new requests to a backend that is being removed.
     """
     router = _router(vm_list, policy)
     if refreshes:
@@ -98,7 +95,7 @@
 @pytest.mark.parametrize("policy", POLICIES)
 def test_leaving_backend_is_not_picked_while_vm_list_is_down(
         vm_list, policy):
-    """Believe the backend itself when the VM list is down."""
+    """Check that a backend's own "leaving" counts if the VM list is down."""
     router = _router(vm_list, policy)
     vm_list.down = True
     leaving = vm_list.vms[0]["name"]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Decide requests by ordered rules: the first match decides."""
+"""Test decisions by ordered rules and the seeding of rules."""
 
 import threading
 import time
@@ -39,16 +39,12 @@
 
 
 def test_rules_from_settings_are_stored_when_store_starts_last():
-    """Seed the settings' rules even when the store starts last.
+    """Check that seeding the rules is retried until the store is up.
 
-    Symptom: a fresh deployment runs with no rules; urgent work waits
-    with the rest.
-
-    Sequence: an entry process starts while the key-value service is not
-    up yet; the service comes up.
-
-    Cause: the rules were offered to the store once, at start, and a
-    failure was ignored.
+    An entry process starts before the key-value service.  If it tried only
+    once to store the rules of the settings and ignored the failure, a new
+    deployment would run without rules, and urgent work would wait like any
+    other.
     """
     kv = standins.Kv()
     try:
--- a/tests/test_rules_race.py
+++ b/tests/test_rules_race.py
@@ -1,9 +1,9 @@
-"""Keep accepted rule changes: in force everywhere, never reverted.
+"""Test that accepted rule changes apply everywhere and never revert.
 
-A hypothesis state machine lets two operators race on the rules through
-two entry processes' admin paths while the store goes down and loses
-replies; each entry process follows the store.  A naive admin that writes
-without compare-and-swap loses an accepted change in the same race.
+In a hypothesis state machine, two operators edit the rules concurrently
+through two entry processes while the store goes down and loses replies, and
+each entry process follows the store.  To show that the machine finds lost
+changes, it is also run against a naive admin without compare-and-swap.
 """
 
 import threading
@@ -27,7 +27,7 @@
 
 
 class RacingAdmin(ruleadmin.RuleAdmin):
-    """Meet the other operator between reading and writing, once."""
+    """Wait once for the other operator between reading and writing."""
 
     barrier: threading.Barrier | None = None
 
@@ -40,7 +40,7 @@
 
 
 class NaiveAdmin(RacingAdmin):
-    """Write the edited list blindly, last writer wins."""
+    """Write the edited list without compare-and-swap: the last writer wins."""
 
     def apply_edit(self, edit, expected=None):
         stored = self.read()
@@ -58,7 +58,7 @@
 
 
 class RuleRaceMachine(standins.StoreFaults):
-    """Race operators and faults; follow the store from two processes."""
+    """Let operators race amid faults; follow the store in two caches."""
 
     admin = RacingAdmin
     kv: standins.Kv
@@ -125,21 +125,19 @@
 
 
 def test_accepted_changes_never_revert(kv):
-    """Keep every accepted change through operator races and faults.
+    """Check that no accepted change is lost.
 
-    Symptom: an operator's accepted rule is gone a moment later.
-
-    Sequence: two operators read the rules at once; both edit; both write.
-
-    Cause guarded against: a blind write of the second edit over the
-    first; compare-and-swap on the revision turns it into a retry.
+    Two operators read the rules at once, and both edit and write them.
+    Without compare-and-swap on the revision, the second write would
+    overwrite the first operator's accepted rule.  With it, the second
+    operator's edit is retried.
     """
     stateful.run_state_machine_as_test(
         RuleRaceMachine, settings=HYPOTHESIS_SETTINGS)
 
 
 def test_naive_admin_loses_an_accepted_change(kv):
-    """Show that blind writes lose an accepted change in the same race."""
+    """Check that the machine finds a change lost by the naive admin."""
     naive = type("Naive", (RuleRaceMachine,), {"admin": NaiveAdmin})
     generate_only = settings(HYPOTHESIS_SETTINGS, phases=[Phase.generate])
     with pytest.raises(AssertionError):
