--- a/sycamorefield/entry.py
+++ b/sycamorefield/entry.py
@@ -226,7 +226,7 @@
                 errors.BAD_FIELDS, "this work needs an idempotency_key",
                 (errors.Finding("body.idempotency_key", "required"),)))
         recorded = self.idempotency_store.record_start(key, request_id)
-        if (recorded.map(lambda b: b.kind).value_or(None)
+        if (recorded.map(lambda r: r.kind).value_or(None)
                 == idempotency.RecordKind.REPLAY):
             events.emit(events.REQUEST_REPLAYED, request_id=request_id,
                         key=key)
--- a/sycamorefield/idempotency.py
+++ b/sycamorefield/idempotency.py
@@ -152,11 +152,11 @@
                                         int(str(record.get("lease"))))
         reply = self.kv.get(membership.MEMBERS_PREFIX + recorder)
         # If the store does not answer, assume that the recording process is
-        # alive: the request may still be in progress, so the caller retries.
+        # alive, because the request may still be in progress.  The caller is
+        # told to retry.
         return reply.map(lambda item: item is not None).value_or(True)
 
-    def delete_record(self, key: str,
-                      recorded: RecordedRequest) -> None:
+    def delete_record(self, key: str, recorded: RecordedRequest) -> None:
         """Delete the record of a request that no backend ran.
 
         Otherwise a caller who was told "not run" and retries with the same
--- a/tests/test_retention.py
+++ b/tests/test_retention.py
@@ -88,7 +88,7 @@
     idempotency_store.record_answer("one", recorded, {"certificate": "one"})
     assert deployment.wait_until(
         lambda: idempotency_store.record_start("one", "r-again").map(
-            lambda b: b.answer).value_or(None) == {"certificate": "one"}, 3)
+            lambda r: r.answer).value_or(None) == {"certificate": "one"}, 3)
 
 
 def test_request_is_not_run_when_store_is_down_before_first_lease(kv):
