--- a/sycamorefield/dispatch.py
+++ b/sycamorefield/dispatch.py
@@ -110,7 +110,7 @@
         if answer is not None:
             return Outcome(OutcomeKind.ANSWERED, answer)
         return Outcome(OutcomeKind.MAYBE_RAN,
-                       detail=f"no answer of its own, status {reply.status}")
+                       detail=f"no valid answer, status {reply.status}")
 
 
 def _parse_answer(reply: urllib3.BaseHTTPResponse,
--- a/sycamorefield/peers.py
+++ b/sycamorefield/peers.py
@@ -223,7 +223,7 @@
                                      name=f"peer-{name}").start()
 
     def statuses(self) -> list[pb.StatusReply]:
-        """Return the own status, then the recent statuses of all peers."""
+        """Return this process's status, then the recent ones of its peers."""
         with self.lock:
             return [self.own_status] + [
                 link.status for link in self.links.values()
@@ -305,7 +305,7 @@
                           pb.ShowReply(outcome=NOT_OWNER))
 
     def transfer_moving_jobs(self) -> None:
-        """Transfer each moving job whose mark is durable to its new cell.
+        """Transfer each job whose MOVING state is durable to its new cell.
 
         Also expires at most one forwarding record per cell.
         """
--- a/sycamorefield/routing.py
+++ b/sycamorefield/routing.py
@@ -103,7 +103,7 @@
 
 
 class PowerOfTwoChoices(LoadBalancingPolicy):
-    """Pick the better of two random backends by slowdown and queue."""
+    """Pick the better of two random backends by slowdown, load and zone."""
 
     def pick(self, usable: list[BackendState], zone: str) -> BackendState:
         now = time.monotonic()
--- a/sycamorefield/rulecache.py
+++ b/sycamorefield/rulecache.py
@@ -68,7 +68,7 @@
         return True
 
     def run_poll(self) -> None:
-        """Read the rules every poll period, even during a working watch.
+        """Read the rules every poll period, even while a watch is open.
 
         A watch can hang without an error, for example after a restart of
         the service behind a proxy or when the stream is lost.  Polling
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -193,7 +193,7 @@
 @pytest.mark.parametrize("send_and_retry,status,code", RETRIES,
                          ids=[row[0].__name__[1:] for row in RETRIES])
 def test_retry_is_never_in_progress_for_ever(kv, send_and_retry, status, code):
-    """Check that a retry is "in progress" only while its request is.
+    """Check that a retry is told "in progress" only while that is true.
 
     The record of a request must not stay "started" if the backend answers
     500, if the entry process that wrote the record dies or if the store is
--- a/tests/test_retention.py
+++ b/tests/test_retention.py
@@ -41,7 +41,7 @@
                          ids=[row[0] for row in RETENTION_CASES])
 def test_records_are_removed_only_after_retention(kv, case_name, retention_s,
                                                   removed):
-    """Check that a record outlives the retention period and then goes.
+    """Check that a record is kept for the retention period, then removed.
 
     Retries must be answered from the record during the retention period.
     Without removal, records of requests that are never retried would fill
