--- a/sycamorefield/routing.py
+++ b/sycamorefield/routing.py
@@ -1,10 +1,10 @@
 """Choose the backend server for each latency-critical request.
 
-Backends come from the platform's VM list, which lags; the router also uses
-its own evidence: a backend that refused a connection or answered "leaving"
-is kept out for a while.  How a backend is chosen among the rest varies:
-LeastExpected is ours, BetterOfTwo is what earlier versions did and Blind is
-the naive version the measurements compare against.
+The states of backends come from the platform's VM list, which lags behind.
+The router therefore also excludes, for EXCLUSION_S, a backend that failed a
+call or answered that it is leaving.  A load balancing policy chooses among
+the other backends: LeastExpectedSlowdown is the default; PowerOfTwoChoices
+and RandomChoice are baselines for benchmarks.
 """
 
 import abc
@@ -23,22 +23,23 @@
 from sycamorefield import options
 
 EWMA_WEIGHT = 0.2
-FORGET_SECONDS = 10.0
-SHUN_SECONDS = 5.0
-ZONE_PENALTY = 0.15
-# Reports lag: a worker that takes noisy work may be noisy already.  Between
-# equal reports the workers kept quiet go first.
-NOISE_PENALTY = 0.5
-FRONT_LEAST = 8
-FRONT_SHARE = 0.1
+SLOWDOWN_DECAY_S = 10.0
+EXCLUSION_S = 5.0
+OTHER_ZONE_PENALTY = 0.15
+# Reports lag, so a worker that accepts noisy work may be noisy already.  At
+# equal reported interference, workers without noisy work are preferred.
+NOISY_WORKER_PENALTY = 0.5
+MIN_CANDIDATES = 8
+CANDIDATE_SHARE = 0.1
 
 
 @dataclasses.dataclass
-class BackendView:
-    """What the router knows of one backend server.
+class BackendState:
+    """The router's state of one backend server.
 
-    slowdown is a moving average of measured latency over the latency that
-    the work declares; interference is what the worker last reported.
+    slowdown is a moving average of the ratio of a call's latency to the
+    latency that its work declares.  interference is the value last reported
+    by the worker.  quiet means that no noisy work is placed on the worker.
     """
 
     name: str
@@ -50,112 +51,119 @@
     measured_at: float = 0.0
     interference: float = 0.0
     quiet: bool = False
-    shunned_until: float = 0.0
+    excluded_until: float = 0.0
     in_flight: int = 0
 
     def usable(self, now: float) -> bool:
-        """Return whether new work may go here now."""
-        return self.state == "live" and now >= self.shunned_until
+        """Return whether the backend may get new requests now."""
+        return self.state == "live" and now >= self.excluded_until
 
-    def measured(self, now: float) -> float:
-        """Return the measured slowdown, forgotten bit by bit when unused."""
+    def decayed_slowdown(self, now: float) -> float:
+        """Return the slowdown, decayed towards 1 since the last call."""
         age = max(0.0, now - self.measured_at)
-        return 1.0 + (self.slowdown - 1.0) * math.exp(-age / FORGET_SECONDS)
+        return 1.0 + (self.slowdown - 1.0) * math.exp(-age / SLOWDOWN_DECAY_S)
 
-    def expected(self, zone: str, now: float) -> float:
-        """Return the slowdown to expect here, zone and queue aside."""
-        penalty = 0.0 if self.zone == zone else ZONE_PENALTY
-        if not self.quiet:
-            penalty += NOISE_PENALTY
-        return max(1.0 + self.interference, self.measured(now)) + penalty
+    def expected_slowdown(self, zone: str, now: float) -> float:
+        """Return the expected slowdown for a caller in zone, without queueing.
 
-    def note(self, ratio: float, now: float) -> None:
-        """Take in one measured latency over the declared one."""
-        before = self.measured(now)
-        self.slowdown = before + EWMA_WEIGHT * (ratio - before)
+        It includes the penalties for other zones and for noisy workers.
+        """
+        penalty = 0.0 if self.zone == zone else OTHER_ZONE_PENALTY
+        if not self.quiet:
+            penalty += NOISY_WORKER_PENALTY
+        return max(1.0 + self.interference,
+                   self.decayed_slowdown(now)) + penalty
+
+    def record_slowdown(self, slowdown: float, now: float) -> None:
+        """Add the slowdown of one call to the moving average."""
+        previous = self.decayed_slowdown(now)
+        self.slowdown = previous + EWMA_WEIGHT * (slowdown - previous)
         self.measured_at = now
 
 
-class Choice(abc.ABC):
-    """Pick one of the usable backends."""
+class LoadBalancingPolicy(abc.ABC):
+    """Choose a backend among the usable ones."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
 
-    def refresh(self, usable: list[BackendView], zone: str) -> None:
-        """Prepare for picks from these backends, a few times a second."""
+    def refresh(self, usable: list[BackendState], zone: str) -> None:
+        """Update the policy's state; called a few times a second."""
 
     @abc.abstractmethod
-    def pick(self, usable: list[BackendView], zone: str) -> BackendView:
-        """Return one of usable, which is not empty."""
+    def pick(self, usable: list[BackendState], zone: str) -> BackendState:
+        """Return one of usable, which is never empty."""
 
 
-class Blind(Choice):
-    """Pick at random."""
+class RandomChoice(LoadBalancingPolicy):
+    """Pick a random backend."""
 
-    def pick(self, usable: list[BackendView], zone: str) -> BackendView:
+    def pick(self, usable: list[BackendState], zone: str) -> BackendState:
         return self.random.choice(usable)
 
 
-class BetterOfTwo(Choice):
-    """Pick the better of two random backends by measured latency."""
+class PowerOfTwoChoices(LoadBalancingPolicy):
+    """Pick the better of two random backends by slowdown, load and zone."""
 
-    def pick(self, usable: list[BackendView], zone: str) -> BackendView:
+    def pick(self, usable: list[BackendState], zone: str) -> BackendState:
         now = time.monotonic()
         pair = self.random.sample(usable, min(2, len(usable)))
         return min(pair, key=lambda b: (
-            b.measured(now) * (1 + b.in_flight)
-            + (0.0 if b.zone == zone else ZONE_PENALTY)))
+            b.decayed_slowdown(now) * (1 + b.in_flight)
+            + (0.0 if b.zone == zone else OTHER_ZONE_PENALTY)))
 
 
-class LeastExpected(Choice):
-    """Pick the least expected slowdown among a front of good backends.
+class LeastExpectedSlowdown(LoadBalancingPolicy):
+    """Pick the candidate with the least expected slowdown.
 
-    The front is chosen a few times a second from what workers reported
-    and what was measured, so a pick costs the same on a fleet of any
-    size.  Within it the queue counts too: a quiet backend takes most of
-    the work until its slots fill, then the next best shares it.
+    The candidates are chosen a few times a second by reported interference
+    and observed slowdown, so that each pick compares only a few backends
+    of a large fleet.  Among the candidates the number of requests in flight
+    counts too: the best backend gets most requests until its slots fill up,
+    then the next best gets some as well.
     """
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
-        self.front: list[BackendView] = []
+        self.candidates: list[BackendState] = []
 
-    def refresh(self, usable: list[BackendView], zone: str) -> None:
+    def refresh(self, usable: list[BackendState], zone: str) -> None:
         now = time.monotonic()
-        size = max(FRONT_LEAST, int(len(usable) * FRONT_SHARE))
-        self.front = heapq.nsmallest(
+        size = max(MIN_CANDIDATES, int(len(usable) * CANDIDATE_SHARE))
+        self.candidates = heapq.nsmallest(
             size, usable,
-            key=lambda b: (b.expected(zone, now), self.random.random()))
+            key=lambda b: (b.expected_slowdown(zone, now),
+                           self.random.random()))
 
-    def pick(self, usable: list[BackendView], zone: str) -> BackendView:
+    def pick(self, usable: list[BackendState], zone: str) -> BackendState:
         now = time.monotonic()
-        front = [b for b in self.front if b.usable(now)] or usable
-        return min(front, key=lambda b: (
-            b.expected(zone, now) * (1 + b.in_flight / b.slots),
+        candidates = [b for b in self.candidates if b.usable(now)] or usable
+        return min(candidates, key=lambda b: (
+            b.expected_slowdown(zone, now) * (1 + b.in_flight / b.slots),
             self.random.random()))
 
 
 class Router:
-    """Hold the backend views and pick among them."""
+    """Track the states of all backends and pick one for each request."""
 
     def __init__(self, opts: options.Options, zone: str,
-                 http: urllib3.PoolManager, choice: Choice) -> None:
+                 http: urllib3.PoolManager,
+                 policy: LoadBalancingPolicy) -> None:
         self.opts = opts
         self.zone = zone
         self.http = http
-        self.choice = choice
+        self.policy = policy
         self.lock = threading.Lock()
         self.backends = {
-            m.name: BackendView(m.name, m.zone,
-                                f"http://{opts.host}:{m.http_port}", m.slots,
-                                quiet=m.name in opts.quiet_machines)
+            m.name: BackendState(m.name, m.zone,
+                                 f"http://{opts.host}:{m.http_port}", m.slots,
+                                 quiet=m.name in opts.quiet_machines)
             for m in opts.machines}
         self.stopped = threading.Event()
         self.interference: typing.Callable[[], dict[str, float]] = dict
 
     def refresh(self) -> bool:
-        """Read the VM list once; return whether it answered."""
+        """Read the VM list once; return whether that succeeded."""
         try:
             reply = self.http.request("GET", self.opts.vm_list_url,
                                       timeout=1.0, retries=False)
@@ -165,53 +173,57 @@
             return False
         for vm in json.loads(reply.data):
             with self.lock:
-                view = self.backends.get(vm["name"])
-                if view is None:
+                backend = self.backends.get(vm["name"])
+                if backend is None:
                     continue
-                if vm["state"] != view.state and vm["state"] == "leaving":
-                    events.emit(events.BACKEND_LEAVING, backend=view.name,
+                if vm["state"] != backend.state and vm["state"] == "leaving":
+                    events.emit(events.BACKEND_LEAVING, backend=backend.name,
                                 source="vm-list")
-                view.state = vm["state"]
+                backend.state = vm["state"]
         return True
 
-    def run(self, period: float) -> None:
-        """Refresh list and reports every period seconds until stopped."""
+    def run(self, period_s: float) -> None:
+        """Update states, interference and policy every period_s seconds."""
         while not self.stopped.is_set():
             self.refresh()
             reported = self.interference()
             with self.lock:
-                for view in self.backends.values():
-                    view.interference = reported.get(view.name, 0.0)
-                self.choice.refresh(self._usable(), self.zone)
-            self.stopped.wait(period)
+                for backend in self.backends.values():
+                    backend.interference = reported.get(backend.name, 0.0)
+                self.policy.refresh(self._usable(), self.zone)
+            self.stopped.wait(period_s)
 
-    def _usable(self) -> list[BackendView]:
+    def _usable(self) -> list[BackendState]:
         now = time.monotonic()
         return [b for b in self.backends.values() if b.usable(now)]
 
-    def pick(self, zone: str | None = None) -> BackendView | None:
-        """Return the backend to use, or None when none is usable."""
+    def pick(self, zone: str | None = None) -> BackendState | None:
+        """Return the backend for a request, or None if none is usable.
+
+        The request counts as in flight until record_call().
+        """
         with self.lock:
             usable = self._usable()
             if not usable:
                 return None
-            best = self.choice.pick(usable, zone or self.zone)
-            best.in_flight += 1
-            return best
+            chosen = self.policy.pick(usable, zone or self.zone)
+            chosen.in_flight += 1
+            return chosen
 
-    def done(self, view: BackendView, ratio: float | None) -> None:
-        """Record one call: latency over the declared one, None on failure."""
+    def record_call(self, backend: BackendState,
+                    slowdown: float | None) -> None:
+        """Record the end of a call; slowdown is None if the call failed."""
         now = time.monotonic()
         with self.lock:
-            view.in_flight -= 1
-            if ratio is None:
-                view.shunned_until = now + SHUN_SECONDS
+            backend.in_flight -= 1
+            if slowdown is None:
+                backend.excluded_until = now + EXCLUSION_S
                 return
-            view.note(ratio, now)
+            backend.record_slowdown(slowdown, now)
 
     def mark_leaving(self, name: str) -> None:
-        """Keep a backend out because it said it is leaving."""
+        """Exclude a backend that answered that it is leaving."""
         with self.lock:
-            view = self.backends[name]
-            view.shunned_until = time.monotonic() + SHUN_SECONDS
+            backend = self.backends[name]
+            backend.excluded_until = time.monotonic() + EXCLUSION_S
         events.emit(events.BACKEND_LEAVING, backend=name, source="backend")
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Tell callers the truth: not run only when not run, and a final answer."""
+"""Test the outcomes that callers are told: never a wrong "not run"."""
 
 import dataclasses
 import http.server
@@ -15,28 +15,28 @@
 
 
 class FakeBackend(http.server.BaseHTTPRequestHandler):
-    """Answer every request as the class's attributes say; count them."""
+    """Answer requests as the class attributes say, and record them."""
 
     status = 200
     statuses: list[int] = []
-    raw: bytes | None = None
-    wrong_id = False
-    count_keys = False
+    raw_body: bytes | None = None
+    answers_wrong_id = False
+    records_keys = False
     fault_during_run = False
     served: list[str] = []
 
     @staticmethod
     def on_run():
-        """Do nothing; a test may put a fault here."""
+        """Called while a request runs; a test may inject a fault here."""
 
     def do_POST(self):
         body = json.loads(self.rfile.read(int(self.headers["Content-Length"])))
-        type(self).served.append(body["idempotency_key"] if self.count_keys
+        type(self).served.append(body["idempotency_key"] if self.records_keys
                                  else body["request_id"])
         self.on_run()
-        answer = {"request_id": "someone-else" if self.wrong_id
+        answer = {"request_id": "someone-else" if self.answers_wrong_id
                   else body["request_id"], "worker": "fake"}
-        data = self.raw or json.dumps(answer).encode()
+        data = self.raw_body or json.dumps(answer).encode()
         self.send_response(self.statuses.pop(0) if self.statuses
                            else self.status)
         self.send_header("Content-Type", "application/json")
@@ -55,30 +55,30 @@
     stand_in.close()
 
 
-def entry_for(kv, backend_port=None, name="entry-1", read_rules=True):
-    """Return an entry process (not started) whose backends are one port."""
+def make_entry_process(kv, backend_port=None, name="entry-1", read_rules=True):
+    """Return an entry process, not started, with one port for all backends."""
     opts = standins.sample_options(kv.port)
     ports = [backend_port or standins.free_port() for _ in opts.machines]
     machines = tuple(dataclasses.replace(m, http_port=p)
                      for m, p in zip(opts.machines, ports))
     entries = tuple(dataclasses.replace(e, grpc_port=standins.free_port())
                     for e in opts.entries)
-    process = entry.Entry(dataclasses.replace(
+    process = entry.EntryProcess(dataclasses.replace(
         opts, machines=machines, entries=entries), name)
     if read_rules:
         entry.seed_rules(opts, kv.client, threading.Event())
-        assert process.book.poll()
+        assert process.rule_cache.poll()
     return process
 
 
-def certificate(request_id, key="cert-1"):
-    """Return a certificate-issue request."""
+def certificate_request(request_id, key="cert-1"):
+    """Return a request to issue a certificate, which must not run twice."""
     return api.RequestModel(customer="surveyors", work="certificate-issue",
                             idempotency_key=key, request_id=request_id)
 
 
-def serve_fake(**behaviour):
-    """Serve a fake backend with the given behaviour; return it."""
+def serve_fake_backend(**behaviour):
+    """Start a fake backend; return its server and its handler class."""
     handler = type("Handler", (FakeBackend,), dict(behaviour, served=[]))
     server = http.server.ThreadingHTTPServer(("127.0.0.1", 0), handler)
     threading.Thread(target=server.serve_forever, daemon=True).start()
@@ -86,35 +86,31 @@
 
 
 def test_retry_after_not_run_gets_a_final_answer(kv):
-    """Answer a retry of a request that was not run; never "in progress".
+    """Check that a retry of a request that was not run is processed.
 
-    Symptom: a caller told "not run, come back in 1 s" comes back with the
-    same idempotency key and is told "in progress" for ever.
-
-    Sequence: a certificate issue is recorded as started; no backend takes
-    a connection; the caller is told no backend ran it; it retries.
-
-    Cause: the record made before dispatch stayed "started" although
-    nothing was dispatched, so every retry found it and waited on it.
+    If no backend accepts a connection, the caller is told that the request
+    was not run.  The record made before dispatch must be deleted then.
+    Otherwise it stays "started", and every retry with the same idempotency
+    key is told "in progress" forever.
     """
-    process = entry_for(kv)
-    first = process.serve_request(certificate("a"))
-    again = process.serve_request(certificate("b"))
+    process = make_entry_process(kv)
+    first = process.serve_request(certificate_request("a"))
+    again = process.serve_request(certificate_request("b"))
     assert first.failure().code.name == "no-backend"
     assert again.failure().code.name == "no-backend"
 
 
-CERTIFICATE = "certificate-issue"
+CERTIFICATE_ISSUE = "certificate-issue"
 HULL_CHECK = "hull-check"
 OUTCOMES = [
-    # what the backend does, the work, the code told, how often it was sent
-    ("server error after running", {"status": 500}, CERTIFICATE,
+    # case, backend behaviour, work, error code, number of requests sent
+    ("server error after running", {"status": 500}, CERTIFICATE_ISSUE,
      "outcome-unknown", 1),
-    ("answer for another request", {"wrong_id": True}, CERTIFICATE,
+    ("answer for another request", {"answers_wrong_id": True},
+     CERTIFICATE_ISSUE, "outcome-unknown", 1),
+    ("answer cut off", {"raw_body": b'{"request_id": "c"'}, CERTIFICATE_ISSUE,
      "outcome-unknown", 1),
-    ("answer cut off", {"raw": b'{"request_id": "c"'}, CERTIFICATE,
-     "outcome-unknown", 1),
-    ("refused", {"status": 400}, CERTIFICATE, "not-run", 1),
+    ("refused", {"status": 400}, CERTIFICATE_ISSUE, "not-run", 1),
     ("idempotent: maybe ran, then refused", {"statuses": [500, 400]},
      HULL_CHECK, "outcome-unknown", 2),
     ("idempotent: maybe ran three times", {"status": 500}, HULL_CHECK,
@@ -124,25 +120,21 @@
 ]
 
 
-@pytest.mark.parametrize("label,behaviour,work,code,sent", OUTCOMES,
+@pytest.mark.parametrize("case_name,behaviour,work,code,sent", OUTCOMES,
                          ids=[row[0] for row in OUTCOMES])
-def test_not_run_is_said_only_when_not_run(kv, label, behaviour, work, code,
-                                           sent):
-    """Say "outcome unknown" when the backend may have run the request.
-
-    Symptom: a caller is told a certificate issue was not run, retries with
-    a new key, and two certificates are issued.
-
-    Sequence: the backend takes the request and answers 500, or answers
-    with another request's id; the entry process reports the outcome.
-
-    Cause: every answer but 200-with-our-id was reported as "not run",
-    although the backend had the request in hand; later, a refusal by a
-    second backend hid that the first may have run it.
+def test_not_run_is_said_only_when_not_run(kv, case_name, behaviour, work,
+                                           code, sent):
+    """Check for "outcome unknown" when a backend may have run the request.
+
+    A caller who is told "not run" retries with a new key.  If the backend
+    did run the request, two certificates are issued.  A backend that answers
+    500, answers for another request or truncates its answer may have run the
+    request.  A refusal by a second backend must not hide that the first one
+    may have run it.
     """
-    server, handler = serve_fake(**behaviour)
+    server, handler = serve_fake_backend(**behaviour)
     try:
-        process = entry_for(kv, server.server_address[1])
+        process = make_entry_process(kv, server.server_address[1])
         answer = process.serve_request(api.RequestModel(
             customer="surveyors", work=work, idempotency_key="cert-9",
             request_id="c"))
@@ -156,67 +148,64 @@
         server.shutdown()
 
 
-def _retry_after_unknown(kv, port):
-    process = entry_for(kv, port)
-    process.serve_request(certificate("a"))
-    return process.serve_request(certificate("b"))
+def _retry_after_unknown_outcome(kv, port):
+    process = make_entry_process(kv, port)
+    process.serve_request(certificate_request("a"))
+    return process.serve_request(certificate_request("b"))
 
 
-def _retry_after_recorder_died(kv, port):
-    died = entry_for(kv, port, "entry-2")
-    died.ledger.begin("cert-1", "a").unwrap()
-    return entry_for(kv, port).serve_request(certificate("b"))
+def _retry_after_recording_process_died(kv, port):
+    dead_process = make_entry_process(kv, port, "entry-2")
+    dead_process.idempotency_store.record_start("cert-1", "a").unwrap()
+    return make_entry_process(kv, port).serve_request(certificate_request("b"))
 
 
-def _retry_while_recorder_lives(kv, port):
-    other = entry_for(kv, port, "entry-2")
+def _retry_while_recording_process_is_alive(kv, port):
+    other = make_entry_process(kv, port, "entry-2")
     assert other.members.join()
-    other.ledger.begin("cert-1", "a").unwrap()
-    process = entry_for(kv, port)
+    other.idempotency_store.record_start("cert-1", "a").unwrap()
+    process = make_entry_process(kv, port)
     process.members.join()
     process.members.refresh()
-    return process.serve_request(certificate("b"))
+    return process.serve_request(certificate_request("b"))
 
 
-def _retry_after_outage_ate_the_answer(kv, port):
-    process = entry_for(kv, port)
+def _retry_after_store_outage_while_answering(kv, port):
+    process = make_entry_process(kv, port)
     FakeBackend.on_run = staticmethod(lambda: kv.faults(down=True))
-    assert process.serve_request(certificate("a")).unwrap()[0] == 200
+    assert process.serve_request(certificate_request("a")).unwrap()[0] == 200
     FakeBackend.on_run = staticmethod(lambda: None)
     kv.faults()
     assert deployment.wait_until(
         lambda: b"done" in kv.client.get("/idem/cert-1").unwrap().value, 5)
-    return process.serve_request(certificate("b"))
+    return process.serve_request(certificate_request("b"))
 
 
 RETRIES = [
-    # what happened to the first try, backend status, code of the retry
-    (_retry_after_unknown, 500, "outcome-unknown"),
-    (_retry_after_recorder_died, 200, "outcome-unknown"),
-    (_retry_while_recorder_lives, 200, "in-progress"),
-    (_retry_after_outage_ate_the_answer, 200, None),
+    # the first try and its retry, backend status, error code of the retry
+    (_retry_after_unknown_outcome, 500, "outcome-unknown"),
+    (_retry_after_recording_process_died, 200, "outcome-unknown"),
+    (_retry_while_recording_process_is_alive, 200, "in-progress"),
+    (_retry_after_store_outage_while_answering, 200, None),
 ]
 
 
-@pytest.mark.parametrize("first_try,status,code", RETRIES,
+@pytest.mark.parametrize("send_and_retry,status,code", RETRIES,
                          ids=[row[0].__name__[1:] for row in RETRIES])
-def test_retry_is_never_in_progress_for_ever(kv, first_try, status, code):
-    """Answer a retry once nobody works on the request any more.
-
-    Symptom: a caller who retries a certificate issue is told "in
-    progress, come back in 1 s" on every retry, for ever.
-
-    Sequence: the backend answers 500, or the entry process that recorded
-    the request dies, or the store is down while the answer is written.
+def test_retry_is_never_in_progress_for_ever(kv, send_and_retry, status, code):
+    """Check that a retry is told "in progress" only while that is true.
 
-    Cause: the record stayed "started" whatever became of the request.
+    The record of a request must not stay "started" if the backend answers
+    500, if the entry process that wrote the record dies or if the store is
+    down when the answer is written.  Otherwise every retry is told "in
+    progress" forever.
     """
-    server, handler = serve_fake(status=status)
+    server, handler = serve_fake_backend(status=status)
     try:
-        answer = first_try(kv, server.server_address[1])
-        got = None if isinstance(answer, result.Success) else (
+        answer = send_and_retry(kv, server.server_address[1])
+        error_code = None if isinstance(answer, result.Success) else (
             answer.failure().code.name)
-        assert got == code
+        assert error_code == code
         assert len(handler.served) <= 1
     finally:
         server.shutdown()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Show what entry processes learn from each other when the store is gone."""
+"""Test what entry processes send each other, also in a store outage."""
 
 import dataclasses
 import threading
@@ -23,8 +23,8 @@
     stand_in.close()
 
 
-def _join(process):
-    """Start an entry process's membership and peers, without its HTTP."""
+def _start_membership_and_peers(process):
+    """Start membership and peer links of a process, without HTTP."""
     process.peer_listener = peers.serve(
         process.peer_server, process.opts.host, process.spec.grpc_port)
     for target in (process.members.run, process.peers.run):
@@ -32,33 +32,29 @@
 
 
 def test_accepted_rule_reaches_peers_though_the_store_goes_down(kv):
-    """Bring an accepted rule change to every peer during an outage.
+    """Check that peers get an accepted rule change during an outage.
 
-    Symptom: an operator's accepted change is in force on one entry VM
-    and not on the others, for as long as the store is down.
-
-    Sequence: an operator adds a rule; the store accepts it and goes down
-    before the other entry processes see it.
-
-    Cause: the store was the only way a change travelled.
+    The store accepts a new rule and goes down before the other entry
+    processes read it.  If changes came only from the store, the rule would
+    apply on one entry VM alone until the end of the outage.
     """
-    first, second = (test_answers.entry_for(kv, name=f"entry-{n}")
+    first, second = (test_answers.make_entry_process(kv, name=f"entry-{n}")
                      for n in (1, 2))
     for process in (first, second):
-        _join(process)
+        _start_membership_and_peers(process)
     try:
         assert deployment.wait_until(
-            lambda: all(p.links and all(link.heard_at for link
+            lambda: all(p.links and all(link.last_status_at for link
                                         in p.links.values())
                         for p in (first.peers, second.peers)), 8)
         added = first.add_rule(api.AddRuleModel(
             rule=rules.RuleModel(name="late"), position=0))
         kv.faults(down=True)
         revision = added.unwrap().revision
-        assert second.book.current.revision < revision
+        assert second.rule_cache.current.revision < revision
         assert deployment.wait_until(
-            lambda: second.book.current.revision == revision, 2)
-        assert second.book.current.names()[0] == "late"
+            lambda: second.rule_cache.current.revision == revision, 2)
+        assert second.rule_cache.current.names()[0] == "late"
     finally:
         for process in (first, second):
             process.peers.stop()
@@ -67,17 +63,14 @@
 
 
 def test_no_request_is_decided_before_the_rules_are_read(kv):
-    """Refuse work until the rules are known.
-
-    Symptom: a branch that its rules reject is served.
+    """Check that work is refused until the rules have been read.
 
-    Sequence: an entry VM is replaced while the store is down; the new
-    process takes requests before it has read any rules.
-
-    Cause: no rules and rules not read yet looked alike, and without a
-    matching rule work is admitted.
+    An entry VM is replaced while the store is down.  If rules not read yet
+    were treated like an empty rule list, the new process would admit
+    customers that the rules reject, as work without a matching rule is
+    admitted.
     """
-    process = test_answers.entry_for(kv, read_rules=False)
+    process = test_answers.make_entry_process(kv, read_rules=False)
     answer = process.serve_request(api.RequestModel(
         customer="owners", work="hull-check"))
     assert answer.failure().code.name == "store-unavailable"
@@ -88,8 +81,9 @@
     assert not process.ready()
 
 
-HOPS = [
-    # what the cell knows of the job, the arriving copy's hops, the outcome
+SUBMISSIONS = [
+    # state and hops of the existing record, hops of the submitted copy,
+    # outcome
     (None, 0, "accepted"),
     (None, 1, "accepted"),
     (("queued", 1), 1, "exists"),
@@ -100,28 +94,25 @@
 ]
 
 
-@pytest.mark.parametrize("known,hops,outcome", HOPS)
-def test_job_may_come_back_but_is_taken_once(kv, known, hops, outcome):
-    """Take a job that moves back, and no copy of one already taken.
-
-    Symptom: an accepted job waits for ever in a cell that cannot hold it.
-
-    Sequence: a job moves to a cell whose only other worker is lost for
-    good; it would have to move on, also back to where it came from.
+@pytest.mark.parametrize("existing,hops,outcome", SUBMISSIONS)
+def test_returning_job_is_accepted_once(kv, existing, hops, outcome):
+    """Check that a cell accepts a returning job, but no repeated transfer.
 
-    Cause: a job moved once only, because a cell that had it before took
-    its own pointer for the job and the hand-over for a repetition.
+    A job may have to move back to a cell that it left, for example when the
+    last other worker of its new cell is lost for good.  A cell that takes
+    its own forwarding record for the job treats that transfer as a
+    repetition, and the job waits forever in a cell that cannot run it.
     """
-    process = test_answers.entry_for(kv)
+    process = test_answers.make_entry_process(kv)
     process.members.join()
     process.cells.claimed(membership.Claim(0, 1))
     assert deployment.wait_until(lambda: process.cells.get(0), 3)
     table = process.cells.get(0).table
     record = jobtable.new_record("j1", "owners",
                                  process.opts.work["class-renewal"], "low")
-    if known:
-        table.stage(dataclasses.replace(record, state=known[0],
-                                        hops=known[1], moved_to=1))
+    if existing:
+        table.stage(dataclasses.replace(record, state=existing[0],
+                                        hops=existing[1], moved_to=1))
     arriving = dataclasses.replace(record, hops=hops)
     reply = process.peers.server.Submit(
         pb.SubmitRequest(cell=0, job=arriving.message()), None)
@@ -129,16 +120,17 @@
     assert reply.outcome == outcome
 
 
-def test_quiet_workers_offer_no_room_to_moving_jobs(kv):
-    """Offer peers only the room that noisy work may use."""
-    process = test_answers.entry_for(kv)
+def test_quiet_workers_offer_no_capacity_to_moving_jobs(kv):
+    """Check that a cell reports only capacity that noisy work may use."""
+    process = test_answers.make_entry_process(kv)
     quiet = sorted(process.opts.quiet_machines)[0]
-    number = next(n for n in range(process.opts.cells)
-                  if quiet in [m.name for m in process.opts.machines_of(n)])
+    cell_number = next(
+        n for n in range(process.opts.cells)
+        if quiet in [m.name for m in process.opts.machines_of(n)])
     process.members.join()
-    process.cells.claimed(membership.Claim(number, 1))
-    cell = process.cells.owned[number]
+    process.cells.claimed(membership.Claim(cell_number, 1))
+    cell = process.cells.owned[cell_number]
     for name, link in cell.links.items():
         link.reached = name == quiet
     assert cell.room().cpus == 0.0
-    process.cells.released(number, False)
+    process.cells.released(cell_number, False)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Decide requests by ordered rules: the first match decides."""
+"""Test decisions by ordered rules and the seeding of rules."""
 
 import threading
 import time
@@ -6,7 +6,7 @@
 import pytest
 
 from sycamorefield import entry
-from sycamorefield import rulebook
+from sycamorefield import rulecache
 from sycamorefield import rules
 from tests import deployment
 from tests import standins
@@ -24,7 +24,7 @@
     _rule("batch-low", priority="low", kind="batch"),
 ))
 
-TABLE = [
+DECISIONS = [
     ("owners", "certificate-issue", "latency", "owners-no-certs", "reject"),
     ("surveyors", "certificate-issue", "latency", "certs-urgent", "admit"),
     ("owners", "class-renewal", "batch", "batch-low", "admit"),
@@ -32,23 +32,19 @@
 ]
 
 
-@pytest.mark.parametrize("customer,work,kind,rule,action", TABLE)
+@pytest.mark.parametrize("customer,work,kind,rule,action", DECISIONS)
 def test_first_matching_rule_decides(customer, work, kind, rule, action):
     decision = RULES.decide(customer, work, kind)
     assert (decision.rule, decision.action.action) == (rule, action)
 
 
-def test_rules_of_the_settings_arrive_once_the_store_is_there():
-    """Seed the settings' rules even when the store starts last.
+def test_rules_from_settings_are_stored_when_store_starts_last():
+    """Check that seeding the rules is retried until the store is up.
 
-    Symptom: a fresh deployment runs with no rules; urgent work waits
-    with the rest.
-
-    Sequence: an entry process starts while the key-value service is not
-    up yet; the service comes up.
-
-    Cause: the rules were offered to the store once, at start, and a
-    failure was ignored.
+    An entry process starts before the key-value service.  If it tried only
+    once to store the rules of the settings and ignored the failure, a new
+    deployment would run without rules, and urgent work would wait like any
+    other.
     """
     kv = standins.Kv()
     try:
@@ -60,7 +56,7 @@
         time.sleep(0.3)
         kv.faults()
         assert deployment.wait_until(
-            lambda: rulebook.KEY in kv.store.items, 3)
+            lambda: rulecache.RULES_KEY in kv.store.items, 3)
     finally:
         stopped.set()
         kv.close()
