--- a/sycamorefield/cli.py
+++ b/sycamorefield/cli.py
@@ -80,7 +80,7 @@
     policy = _unwrap_or_exit(policysettings.load(path))
     disabled = [name for name, on in dataclasses.asdict(policy).items()
                 if not on]
-    print(f"policy valid, disabled: {', '.join(disabled) or 'none'}")
+    print(f"policy valid, disabled: {', '.join(disabled) or 'nothing'}")
 
 
 @app.command
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -269,9 +269,9 @@
         one.machines[0].let.set()
         assert deployment.wait_until(lambda: len(one.running()) >= tasks, 5)
         time.sleep(0.5)
-        peak = one.machines[0].peak.cpus
+        peak_usage = one.machines[0].peak_usage.cpus
         capacity = one.machines[0].spec.capacity.cpus
-        assert (peak > capacity) == overflows, (peak, capacity)
+        assert (peak_usage > capacity) == overflows, (peak_usage, capacity)
     finally:
         one.close(first, *([second] if second else []))
 
