--- a/sycamorefield/backend.py
+++ b/sycamorefield/backend.py
@@ -17,7 +17,7 @@
 from sycamorefield import options
 from sycamorefield import worker
 
-# A backend marked as leaving must get no new requests after this time.
+# Seconds after which a backend marked as leaving must get no new requests.
 LEAVING_GRACE_S = 3.0
 
 
--- a/sycamorefield/options.py
+++ b/sycamorefield/options.py
@@ -89,7 +89,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Timings:
-    """Periods and timeouts, in seconds."""
+    """Periods and timeouts in seconds; see docs/operators/settings.md."""
 
     member_ttl: float
     heartbeat: float
@@ -130,7 +130,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Options:
-    """The validated settings of a deployment, as its processes use them."""
+    """The validated settings of a deployment, as its processes use them.
+
+    quotas maps a customer to the processors that its batch work may hold at
+    once.  quiet_machines names the workers that take no noisy work.
+    """
 
     deployment: str
     host: str
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -27,7 +27,7 @@
 BAD_SETTINGS = [
     ("unknown key", lambda r: r.update(colour="red"), ["f.yaml:colour"]),
     ("port too low", lambda r: r.update(base_port=80), ["f.yaml:base_port"]),
-    ("two faults at once",
+    ("two errors at once",
      lambda r: r.update(entries=0, worker={"cpus": -1, "memory_mb": 1}),
      ["f.yaml:entries", "f.yaml:worker.cpus"]),
     ("rule names unknown work",
@@ -38,7 +38,7 @@
      ["f.yaml:rules.4.then.zone"]),
     ("duplicate work", lambda r: r["work"].append(dict(r["work"][0])),
      ["f.yaml:work"]),
-    ("lease that one lost report ends",
+    ("task lease that one lost report would end",
      lambda r: r["timings"].update(report_seconds=1.5),
      ["f.yaml:timings.task_lease_seconds"]),
     ("bad kind", lambda r: r["work"][0].update(kind="sometimes"),
