--- a/sycamorefield/idempotency.py
+++ b/sycamorefield/idempotency.py
@@ -106,7 +106,7 @@
 
     def _compare_and_swap(self, key: str, revision: int, value: bytes,
                           delete: bool = False
-                          ) -> kvclient.Outcome[kvclient.Swap]:
+                          ) -> kvclient.Outcome[kvclient.CasResult]:
         """Write or delete a record, which is kept for the retention period."""
         lease = self.retention.lease()
         if not isinstance(lease, result.Success):
--- a/sycamorefield/kvclient.py
+++ b/sycamorefield/kvclient.py
@@ -1,6 +1,7 @@
-"""Talk to the platform's key-value service, returning results, not raising.
+"""Client of the platform's key-value service.
 
-A write whose reply is lost may still have taken effect; callers that must
+Except for watch, its methods return errors as results instead of raising.  A
+write whose reply is lost may still have taken effect; callers that need to
 know read the key back (see idempotency.py and ruleadmin.py).
 """
 
@@ -16,13 +17,13 @@
 from sycamorefield import sycamorefield_pb2 as pb
 from sycamorefield import sycamorefield_pb2_grpc as pb_grpc
 
-CALL_TIMEOUT = 1.0
-CLIENT_METADATA = "client"
+CALL_TIMEOUT_S = 1.0
+CLIENT_METADATA_KEY = "client"
 
 
 @dataclasses.dataclass(frozen=True)
 class KvError:
-    """A failed call: the gRPC status name and its detail."""
+    """A failed call: the name of its gRPC status code and the details."""
 
     status: str
     detail: str
@@ -34,8 +35,11 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Swap:
-    """The outcome of a compare-and-swap: won or not, and the key's state."""
+class CasResult:
+    """The result of a compare-and-swap.
+
+    current is the item at the key after the call, None if there is none.
+    """
 
     succeeded: bool
     revision: int
@@ -46,7 +50,7 @@
 Outcome = result.Result[T, KvError]
 
 
-def _error(exc: grpc.RpcError) -> KvError:
+def _to_kv_error(exc: grpc.RpcError) -> KvError:
     code = exc.code() if hasattr(exc, "code") else None
     name = code.name if code is not None else "UNKNOWN"
     details = exc.details() if hasattr(exc, "details") else str(exc)
@@ -64,19 +68,19 @@
 
 
 class Client:
-    """A connection to the key-value service."""
+    """A connection to the key-value service; timeout is in seconds."""
 
-    def __init__(self, target: str, timeout: float = CALL_TIMEOUT,
+    def __init__(self, target: str, timeout: float = CALL_TIMEOUT_S,
                  name: str = "") -> None:
         self.target = target
-        self.metadata = ((CLIENT_METADATA, name),)
+        self.metadata = ((CLIENT_METADATA_KEY, name),)
         self.timeout = timeout
         self.channel = channels.connect(target)
         self.stub = pb_grpc.KeyValueStub(self.channel)
         self.lock = threading.Lock()
 
     def close(self) -> None:
-        """Close the channel."""
+        """Close the connection."""
         self.channel.close()
 
     def _call(self, method: typing.Callable[..., T],
@@ -85,7 +89,7 @@
             return result.Success(method(request, timeout=self.timeout,
                                          metadata=self.metadata))
         except grpc.RpcError as exc:
-            return result.Failure(_error(exc))
+            return result.Failure(_to_kv_error(exc))
 
     def get(self, key: str) -> Outcome[pb.Item | None]:
         """Return the item at key, or None when it does not exist."""
@@ -103,13 +107,16 @@
             key=key, value=value, lease=lease)).map(lambda r: r.revision)
 
     def cas(self, key: str, expected: int, value: bytes,
-            lease: int = 0, delete: bool = False) -> Outcome[Swap]:
-        """Write value if key is at revision expected (0: absent)."""
+            lease: int = 0, delete: bool = False) -> Outcome[CasResult]:
+        """Write value, or delete the key, if its revision is as expected.
+
+        An expected revision of 0 means that the key must not exist.
+        """
         request = pb.CasRequest(key=key, expected_mod_revision=expected,
                                 value=value, lease=lease, delete=delete)
         return self._call(self.stub.CompareAndSwap, request).map(
-            lambda r: Swap(r.succeeded, r.revision,
-                           r.current if r.HasField("current") else None))
+            lambda r: CasResult(r.succeeded, r.revision,
+                                r.current if r.HasField("current") else None))
 
     def delete(self, key: str, prefix: bool = False) -> Outcome[int]:
         """Delete key, or every key under a prefix; return the count."""
@@ -122,23 +129,26 @@
             ttl_ms=ttl_ms)).map(lambda r: r.lease)
 
     def keep_alive(self, lease: int) -> Outcome[int]:
-        """Renew a lease; return its TTL in ms, 0 when it has lapsed."""
+        """Renew a lease; return its TTL in ms, 0 if it has expired."""
         return self._call(self.stub.LeaseKeepAlive,
                           pb.LeaseKeepAliveRequest(lease=lease)).map(
             lambda r: r.ttl_ms)
 
     def revoke(self, lease: int) -> Outcome[None]:
-        """Revoke a lease and drop its keys."""
+        """Revoke a lease and delete its keys."""
         return self._call(self.stub.LeaseRevoke, pb.LeaseRevokeRequest(
             lease=lease)).map(lambda r: None)
 
     def watch(self, key: str, prefix: bool = False,
               start_revision: int = 0) -> typing.Iterator[pb.WatchEvent]:
-        """Yield changes to key (or a prefix) until the stream breaks."""
+        """Yield changes to key (or a prefix) until the stream ends.
+
+        Raise grpc.RpcError when the stream breaks.
+        """
         return self.stub.Watch(pb.WatchRequest(
             key=key, prefix=prefix, start_revision=start_revision),
             metadata=self.metadata)
 
     def set_faults(self, faults: pb.KvFaults) -> Outcome[pb.KvFaults]:
-        """Set the stand-in's fault knobs."""
+        """Set the faults that the stand-in of the service injects."""
         return self._call(self.stub.SetFaults, faults)
--- a/sycamorefield/peers.py
+++ b/sycamorefield/peers.py
@@ -259,7 +259,7 @@
                 free = options.Capacity(cell.room.cpus, cell.room.memory_mb,
                                         cell.room.accelerators)
                 if (cell.cell != source_cell and not cell.queued
-                        and free.fits(options.ZERO, demand)
+                        and free.fits(options.ZERO_CAPACITY, demand)
                         and free.cpus > best_cpus):
                     best_cell, best_cpus = cell.cell, free.cpus
         return best_cell
--- a/sycamorefield/vmlist.py
+++ b/sycamorefield/vmlist.py
@@ -1,7 +1,7 @@
-"""Stand in for the platform's list of live and leaving VMs.
+"""Stand-in of the platform's list of live and leaving VMs.
 
-The list lags behind reality by a set number of seconds: a VM marked
-leaving shows as leaving only once the lag has passed.
+The list lags behind by a configured number of seconds: a VM marked as leaving
+is listed as leaving only after the lag.
 """
 
 import dataclasses
@@ -19,16 +19,16 @@
 
 @dataclasses.dataclass
 class Vm:
-    """A backend VM as the list knows it, with its state changes."""
+    """A backend VM and its state changes, as (Unix time, state)."""
 
-    machine: options.Machine
+    machine: options.WorkerSpec
     changes: list[tuple[float, str]]
 
     def state_at(self, moment: float) -> str:
-        """Return the state the list shows at a moment."""
+        """Return the state at a moment (Unix time)."""
         state = LIVE
-        for at, value in self.changes:
-            if at <= moment:
+        for changed_at, value in self.changes:
+            if changed_at <= moment:
                 state = value
         return state
 
@@ -37,7 +37,7 @@
     """Serve GET /v1/vms and POST /v1/vms/<name>/leaving."""
 
     def __init__(self, opts: options.Options) -> None:
-        self.lag = opts.vm_list_lag
+        self.lag_s = opts.vm_list_lag_s
         self.lock = threading.Lock()
         self.vms = {m.name: Vm(m, []) for m in opts.machines}
 
@@ -45,12 +45,12 @@
     @cherrypy.tools.json_out()
     def v1(self, what: str = "vms", name: str = "",
            action: str = "") -> list[dict[str, object]] | dict[str, object]:
-        """List the VMs, or mark one leaving or live again."""
+        """List the VMs, or mark one as leaving or as live again."""
         if what != "vms":
             raise cherrypy.NotFound()
         if name:
-            return self._change(name, action)
-        moment = time.time() - self.lag
+            return self._set_state(name, action)
+        moment = time.time() - self.lag_s
         with self.lock:
             return [{"name": vm.machine.name, "zone": vm.machine.zone,
                      "rack": vm.machine.rack,
@@ -59,7 +59,7 @@
                      "state": vm.state_at(moment)}
                     for vm in self.vms.values()]
 
-    def _change(self, name: str, action: str) -> dict[str, object]:
+    def _set_state(self, name: str, action: str) -> dict[str, object]:
         if cherrypy.request.method != "POST":
             raise cherrypy.HTTPError(405)
         if action not in (LIVE, LEAVING):
@@ -69,11 +69,11 @@
             if vm is None:
                 raise cherrypy.NotFound()
             vm.changes.append((time.time(), action))
-        return {"name": name, "state": action, "visible_after": self.lag}
+        return {"name": name, "state": action, "visible_after": self.lag_s}
 
 
 def serve(opts: options.Options) -> VmList:
-    """Start the VM list on its port; return it."""
+    """Start the HTTP server of the VM list; return the list."""
     app = VmList(opts)
     httpserver.start(opts.host, opts.vm_list_port, app)
     return app
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -28,7 +28,7 @@
     """One cell over in-process workers, without membership."""
 
     def __init__(self, kv, workers=1, run_seconds=0.3,
-                 kind=worker.Machine, **timings):
+                 kind=worker.WorkerServer, **timings):
         timings = {"report": 0.1, "task_lease": 0.5, "clock_skew": 0.0,
                    **timings}
         opts = standins.sample_options(kv.port, **timings)
@@ -208,14 +208,14 @@
         one.close(first, *([second] if second else []))
 
 
-class Trusting(worker.Machine):
+class Trusting(worker.WorkerServer):
     """A worker that takes whatever its owners give it, once it is let."""
 
     def __init__(self, spec):
         super().__init__(spec)
         self.let = threading.Event()
 
-    def lacking(self, demand):
+    def missing_resource(self, demand):
         return ""
 
     def StartTask(self, request, context):
@@ -269,9 +269,9 @@
         one.machines[0].let.set()
         assert deployment.wait_until(lambda: len(one.running()) >= tasks, 5)
         time.sleep(0.5)
-        peak = one.machines[0].peak.cpus
+        peak_usage = one.machines[0].peak_usage.cpus
         capacity = one.machines[0].spec.capacity.cpus
-        assert (peak > capacity) == overflows, (peak, capacity)
+        assert (peak_usage > capacity) == overflows, (peak_usage, capacity)
     finally:
         one.close(first, *([second] if second else []))
 
@@ -536,7 +536,7 @@
     that ended.
     """
     spec = standins.sample_options(1).machines[0]
-    assert not _late(worker.Machine(spec), what)
+    assert not _late(worker.WorkerServer(spec), what)
 
 
 def test_job_never_moves_to_the_cell_it_leaves(kv):
