--- a/sycamorefield/cell.py
+++ b/sycamorefield/cell.py
@@ -101,8 +101,8 @@
         self.freeing_tasks = 0
         self.urgent_queued = False
         self.urgent_seen_at = -math.inf
-        self.max_freeing_wait_s = URGENT_START_BOUND_S - \
-            EVICTION_S - table.commit_interval_s
+        self.max_freeing_wait_s = (URGENT_START_BOUND_S - EVICTION_S
+                                   - table.commit_interval_s)
         self.has_unplaced = False
         table.on_commit = self._handle_commit
         # Held while a decision is made from records and staged, so that a
--- a/tests/test_jobtable.py
+++ b/tests/test_jobtable.py
@@ -10,7 +10,7 @@
 from tests import standins
 
 
-class UncheckedTable(jobtable.JobTable):
+class BlindTable(jobtable.JobTable):
     """The naive version: write without comparing the revision."""
 
     def commit_once(self):
@@ -21,7 +21,7 @@
         return True
 
 
-class OwnerChanges(stateful.RuleBasedStateMachine):
+class Owners(stateful.RuleBasedStateMachine):
     """Two owners of one cell, store faults, and what was committed.
 
     Symptom looked for: an accepted job, or a recorded outcome, is gone
@@ -93,10 +93,10 @@
         self.kv.close()
 
 
-class UncheckedOwnerChanges(OwnerChanges):
+class BlindOwners(Owners):
     """The same faults against the naive version."""
 
-    table_class = UncheckedTable
+    table_class = BlindTable
 
 
 SETTINGS = hypothesis.settings(
@@ -107,10 +107,9 @@
 
 
 def test_committed_changes_survive_owner_changes_and_faults():
-    stateful.run_state_machine_as_test(OwnerChanges, settings=SETTINGS)
+    stateful.run_state_machine_as_test(Owners, settings=SETTINGS)
 
 
-def test_unchecked_writes_lose_committed_changes():
+def test_blind_writes_lose_committed_changes():
     with pytest.raises(AssertionError, match="accepted, then lost"):
-        stateful.run_state_machine_as_test(
-            UncheckedOwnerChanges, settings=SETTINGS)
+        stateful.run_state_machine_as_test(BlindOwners, settings=SETTINGS)
