--- a/sycamorefield/cell.py
+++ b/sycamorefield/cell.py
@@ -1,9 +1,10 @@
-"""Decide for one cell: a set of workers and the jobs that run on them.
+"""Schedule the jobs of one cell on its workers.
 
-The fleet is divided into cells.  Exactly one entry process owns a cell at a
-time; it alone places the cell's jobs on the cell's workers, so a placement
-needs no agreement with anyone, only a committed record (jobtable.py) and a
-fence that the workers check.
+The fleet is divided into cells, each a set of workers and of jobs.  Exactly
+one entry process owns a cell at a time, and only the owner places the cell's
+jobs on the cell's workers.  A placement therefore needs no consensus between
+entry processes, only a committed record (jobtable.py) and a fencing token
+that the workers check.
 """
 
 import dataclasses
@@ -21,25 +22,30 @@
 from sycamorefield import tasklist
 from sycamorefield import workerlink
 
+# A job ends as failed after failing on this many different workers, or after
+# this many failures in total.
 MAX_FAILED_WORKERS = 3
 MAX_FAILURES = 6
-# Tasks this young when their worker crashed are suspected.  One that is
-# suspected is tried apart: for so long nothing else starts on its worker,
-# where nothing younger runs.  It is given up after so many crashes then.
+# A task that started less than SUSPECT_AGE_S before its worker crashed is
+# suspected of causing the crash.  Its next start is a quarantine run: the
+# worker has no task placed less than QUARANTINE_S ago, and no other task
+# starts there for QUARANTINE_S.  The job fails after MAX_QUARANTINE_CRASHES
+# crashes in quarantine runs.
 SUSPECT_AGE_S = 5.0
 QUARANTINE_S = 1.0
 MAX_QUARANTINE_CRASHES = 2
 LOAD_RETRY_S = 0.2
 FLUSH_TIMEOUT_S = 2.0
-# An urgent job starts within the bound.  It waits for room that is on its
-# way for as long as the bound leaves once the commit of its placement and
-# the calls that stop another task and start this one are taken off.
+# An urgent job must start within URGENT_START_BOUND_S.  It may wait for
+# capacity being freed for that time less the commit of its placement and less
+# EVICTION_S, which covers the calls that stop another task and start this one.
 URGENT_START_BOUND_S = 1.1
 EVICTION_S = 0.3
 URGENT_POLL_S = 0.05
-# Where urgent jobs come, another job that has just arrived leaves the last
-# of the room to them for a moment: what comes in one wave comes mixed, and
-# an urgent job at its end would have the others evicted again.
+# If an urgent job was queued within the last RECENT_URGENT_S, other jobs leave
+# the last URGENT_RESERVE_SHARE of the CPUs free for HOLD_BACK_S after arrival.
+# Bursts mix urgent and other jobs: without this reserve, an urgent job at the
+# end of a burst would evict jobs that have just started.
 URGENT_RESERVE_SHARE = 0.25
 HOLD_BACK_S = 1.0
 RECENT_URGENT_S = 600.0
@@ -47,7 +53,7 @@
 
 @dataclasses.dataclass
 class Counters:
-    """What an entry process has done with tasks since it started."""
+    """Counts of task events since the entry process started."""
 
     started: int = 0
     finished: int = 0
@@ -56,7 +62,7 @@
 
 
 def _queued_s(record: jobtable.JobRecord) -> float:
-    """Return for how many seconds a job has been queued in this cell."""
+    """Return how many seconds ago a job was accepted or moved here."""
     return time.time() - max(record.accepted_at, record.arrived_at)
 
 
@@ -66,12 +72,12 @@
 
 def _preferred_workers(record: jobtable.JobRecord, workers: list[WorkerView]
                        ) -> list[WorkerView]:
-    """Return the workers that a job has not failed on; all if none is left."""
-    return [p for p in workers if p.name not in record.failed_on] or workers
+    """Return the workers on which a job has not failed, or all if none."""
+    return [w for w in workers if w.name not in record.failed_on] or workers
 
 
 class Cell:
-    """An owned cell: its job table, its workers and its decisions."""
+    """A cell owned by this process: its job table, workers and placements."""
 
     def __init__(self, opts: options.Options, number: int, fence: int,
                  table: jobtable.JobTable, chosen_strategy: strategy.Strategy,
@@ -95,7 +101,7 @@
         self.loaded_at = 0.0
         self.unlinked_jobs: list[str] = []
         self.evicting: set[str] = set()
-        # Until when nothing else is placed on a worker.
+        # Wall-clock time until which no other task is placed on a worker.
         self.quarantined_until: dict[str, float] = {}
         self.uncommitted_workers: set[str] = set()
         self.freeing_tasks = 0
@@ -105,7 +111,7 @@
                                    - table.commit_interval_s)
         self.has_unplaced = False
         table.on_commit = self._handle_commit
-        # Held while a decision is made from records and staged, so that a
+        # Held from reading a record until staging its change, so that a
         # placement cannot overwrite a cancellation staged in between.
         self.lock = threading.RLock()
         self.fleet_usage: typing.Callable[[], dict[str, float]] = dict
@@ -113,7 +119,7 @@
             lambda leaving, demand: jobtable.NO_CELL)
 
     def run(self) -> None:
-        """Take the cell over, then place its jobs until it is given up."""
+        """Load the job table, then place jobs until the cell is stopped."""
         while not self.table.load():
             if self.stopped.wait(LOAD_RETRY_S):
                 return
@@ -144,7 +150,7 @@
             self.wake.clear()
 
     def stop(self, flush: bool = True) -> None:
-        """Give the cell up, committing first what is staged."""
+        """Stop scheduling; if flush is set, commit staged changes first."""
         self.stopped.set()
         self.wake.set()
         for link in self.links.values():
@@ -157,19 +163,23 @@
         return work.demand if work else options.ZERO
 
     def place_once(self) -> int:
-        """Place what can be placed now; return how many jobs that is.
+        """Place the queued jobs that fit now and return their number.
 
-        Nothing is sent here: the commit that makes the placements durable
-        wakes the workers' links, which send the starts.
+        This sends no calls: the commit that makes the placements durable
+        wakes the worker links, which send the starts.
         """
         if not self.lease_held() or not self.table.healthy:
-            # A paused process wakes up with a cell it may no longer own.
+            # A process resumed after a pause may no longer own the cell.
             return 0
         with self.lock:
             return self._place_queued()
 
     def _requeue_unlinked_jobs(self) -> None:
-        """Queue again what is placed on workers that are not ours to ask."""
+        """Requeue jobs placed on workers that are not in the settings.
+
+        No link reports on such a worker, so wait until every task lease on
+        it must have expired.
+        """
         if self.unlinked_jobs and (time.monotonic() - self.loaded_at
                                    > self.opts.timings.lapse):
             for job_id in self.unlinked_jobs:
@@ -215,7 +225,7 @@
 
     def _held_back(self, record: jobtable.JobRecord,
                    candidates: list[placement.Candidate]) -> bool:
-        """Return whether a new job leaves the last room to urgent ones."""
+        """Return whether a new job must leave the reserve to urgent jobs."""
         if (not self.strategy.eviction.waits_for_freeing
                 or record.priority == eviction.URGENT
                 or time.monotonic() - self.urgent_seen_at > RECENT_URGENT_S
@@ -227,7 +237,7 @@
         return total_cpus - committed_cpus < URGENT_RESERVE_SHARE * total_cpus
 
     def _finish_unplaceable(self, record: jobtable.JobRecord) -> bool:
-        """End a queued job that is not to run; return whether it was one."""
+        """End a job that is cancelled or of unknown work; return if it was."""
         if record.cancelled:
             self._finish(record, jobtable.CANCELLED)
             return True
@@ -268,20 +278,20 @@
         return chosen
 
     def _newest_task_age_s(self, worker: str) -> float:
-        """Return for how long the newest task of a worker is placed."""
+        """Return how many seconds ago a worker got its newest task."""
         placed = [r.placed_at for r in self.table.placed_on(worker)]
         return time.time() - max(placed, default=0.0)
 
     def _quarantine_worker(self, record: jobtable.JobRecord) -> None:
-        """Let nothing else start on the worker of a suspected task."""
+        """Start no other task on the worker during a quarantine run."""
         if record.apart:
             self.quarantined_until[record.worker] = (record.placed_at
                                                      + QUARANTINE_S)
 
     def _waits_for_quarantine(self, record: jobtable.JobRecord) -> bool:
-        """Return whether a placed job must not start beside a suspected one.
+        """Return whether a placed job must wait for a quarantine run to end.
 
-        After a crash what was placed before starts on the same worker anew.
+        After a crash, the jobs already placed on a worker start there again.
         """
         until = self.quarantined_until.get(record.worker, 0.0)
         return not record.apart and until > time.time()
@@ -306,7 +316,7 @@
         self.table.stage(record)
 
     def _handle_unplaced(self, record: jobtable.JobRecord) -> None:
-        """Evict for an urgent job, or move a job this cell has no room for."""
+        """Evict tasks for an urgent job, or move a job to another cell."""
         if record.priority == eviction.URGENT and self._evict_for(record):
             return
         if _queued_s(record) < self.opts.timings.move_after:
@@ -318,7 +328,7 @@
             self.table.stage(record)
 
     def _worker_loads(self) -> list[eviction.WorkerLoad]:
-        """Return the usable workers with what runs there and for how long."""
+        """Return the usable workers with their jobs and remaining times."""
         now = time.monotonic()
         loads = []
         for name, link in self.links.items():
@@ -334,7 +344,7 @@
         return loads
 
     def _count_freeing_tasks(self) -> int:
-        """Count the tasks that are about to give their room back."""
+        """Count the tasks that are being evicted or about to finish."""
         if not self.strategy.eviction.waits_for_freeing:
             return 0
         finishing = 0
@@ -344,15 +354,18 @@
         return len(self.evicting) + finishing
 
     def _evict_for(self, record: jobtable.JobRecord) -> bool:
-        """Make room for an urgent job; return whether it is on its way."""
+        """Evict tasks for an urgent job unless capacity is being freed.
+
+        Return whether capacity is being freed for the job.
+        """
         if (self.freeing_tasks > 0
                 and (time.time() - record.accepted_at
                      < self.max_freeing_wait_s)):
             self.freeing_tasks -= 1
             return True
-        # Only where the job would go then: room made on a worker that it
-        # avoids is taken by the job just evicted, which is evicted again,
-        # many times a second.
+        # Evict only on workers that the job may use.  Capacity freed on a
+        # worker that it avoids would go to the job just evicted, which would
+        # be evicted again, many times a second.
         work = self.opts.work[record.work]
         loads = [w for w in self._worker_loads()
                  if not self.strategy.placement.avoids(
@@ -365,7 +378,7 @@
         return bool(victims)
 
     def placements(self, worker: str) -> dict[str, workerlink.PlacedTask]:
-        """Return the placements on a worker, by task id."""
+        """Return the placed tasks of a worker by task id."""
         return {record.task_id: workerlink.PlacedTask(
             record.job_id, record.task_id, self.opts.work[record.work],
             record.progress,
@@ -376,15 +389,15 @@
             if record.work in self.opts.work}
 
     def note_started(self, placed: workerlink.PlacedTask) -> None:
-        """Count a start that its worker accepted."""
+        """Count a task that its worker has started."""
         self.counters.started += 1
 
     def _handle_commit(self) -> None:
-        """Wake the links whose placements have just become durable."""
+        """Wake the links of workers that had uncommitted placements."""
         with self.lock:
             workers = self.uncommitted_workers
-            # A placement staged while this commit was under way is not in
-            # it; its worker stays on the list for the next commit.
+            # This commit does not contain placements staged while it was in
+            # progress; their workers are woken again by the next commit.
             self.uncommitted_workers = {
                 name for name in workers if not all(
                     self.table.durable(r.job_id)
@@ -394,7 +407,7 @@
 
     def record_ended(self, link: workerlink.WorkerLink,
                      ended: list[tasklist.EndedTask]) -> list[str]:
-        """Record ended tasks; return the ids whose outcome is durable."""
+        """Stage the outcomes of ended tasks; return ids of durable ones."""
         with self.lock:
             for task in ended:
                 record = self.table.get(task.job_id)
@@ -402,8 +415,8 @@
                         and record.state == jobtable.PLACED):
                     self._record_end(link, record, task)
                     self.wake.set()
-        # Not waiting for the commit here keeps starts flowing; the worker
-        # lists an ended task again until a later report acknowledges it.
+        # Waiting for the commit here would delay starts.  The worker lists an
+        # ended task until a later report acknowledges it.
         return [task.task_id for task in ended
                 if self.table.durable(task.job_id)]
 
@@ -435,9 +448,9 @@
 
     def _after_failure(self, record: jobtable.JobRecord,
                        worker: str) -> None:
-        # A job that fails wherever it runs can never run; one that meets
-        # workers that fail all they start can.  Only failures on several
-        # different workers tell the first from the second.
+        # Only failures on several different workers distinguish a job that
+        # fails everywhere from a sound job placed on workers that fail every
+        # task.
         record.failed_on.append(worker)
         if (len(set(record.failed_on)) >= MAX_FAILED_WORKERS
                 or len(record.failed_on) >= MAX_FAILURES):
@@ -460,7 +473,7 @@
 
     def note_not_started(self, link: workerlink.WorkerLink,
                          placed: workerlink.PlacedTask, reason: str) -> None:
-        """Queue a job again that was not started, unless it is cancelled."""
+        """Requeue a job whose start was refused, or end it if cancelled."""
         events.emit(events.TASK_REFUSED, job=placed.job_id,
                     worker=link.machine.name, reason=reason)
         if reason == "stale-fence":
@@ -477,11 +490,11 @@
         self.wake.set()
 
     def has_unplaced_jobs(self) -> bool:
-        """Return whether a job found no room when last looked at."""
+        """Return whether the last placement round left a job unplaced."""
         return self.has_unplaced
 
     def worker_lost(self, link: workerlink.WorkerLink) -> None:
-        """Queue again the jobs of a worker whose leases have all lapsed."""
+        """Requeue the jobs of a worker whose task leases have all expired."""
         self.counters.lost_workers += 1
         with self.lock:
             for record in self.table.placed_on(link.machine.name):
@@ -494,9 +507,10 @@
 
     def worker_crashed(self, link: workerlink.WorkerLink,
                        task_ids: list[str], crashed_at: float) -> None:
-        """Suspect the young tasks of a worker that ended and is back.
+        """Suspect the newest tasks of a worker that crashed and restarted.
 
-        Placed jobs that are not suspected start again where they were.
+        If one of them was in a quarantine run, only that one is suspected.
+        Other placed jobs start again on the same worker.
         """
         with self.lock:
             lost = [r for r in self.table.placed_on(link.machine.name)
@@ -533,7 +547,10 @@
             self._requeue(record, record.progress)
 
     def cancel(self, job_id: str) -> int:
-        """Cancel a job if it can be; return the version to wait for."""
+        """Cancel a job unless it has ended or is moving to another cell.
+
+        Return the table version to wait for.
+        """
         with self.lock:
             record = self.table.get(job_id)
             if (record is None or record.state in jobtable.FINISHED
@@ -542,8 +559,8 @@
             record.cancelled = True
             if record.state == jobtable.QUEUED:
                 return self._finish(record, jobtable.CANCELLED)
-            # The worker's link stops the task, or does not start it, when
-            # it next looks at what the record says.
+            # The worker link reads the record on its next pass and stops the
+            # task or does not start it.
             version = self.table.stage(record)
             link = self.links.get(record.worker)
             if link is not None:
@@ -551,10 +568,11 @@
             return version
 
     def free_capacity(self) -> options.Capacity:
-        """Return what the freest worker could still take; ZERO when none.
+        """Return the free capacity of the worker with most free CPUs.
 
-        Quiet workers do not count: they take no noisy work, and a job
-        that moved here for their room would wait for nothing.
+        ZERO if no worker has any.  Quiet workers do not count: they accept
+        no noisy work, so a noisy job that moved here for their capacity
+        could never be placed.
         """
         best = options.ZERO
         for candidate in self._candidates():
@@ -566,7 +584,7 @@
         return best
 
     def usage(self) -> dict[str, float]:
-        """Return the processors placed per customer in this cell."""
+        """Return the CPUs placed per customer in this cell."""
         cpus_placed: dict[str, float] = {}
         for customer_work, count in self.table.running_counts().items():
             work = self.opts.work.get(customer_work.work)
--- a/sycamorefield/cells.py
+++ b/sycamorefield/cells.py
@@ -1,4 +1,4 @@
-"""Hold the cells that this entry process owns and say whose a job is."""
+"""Run the cells that this entry process owns and map jobs to cells."""
 
 import threading
 import typing
@@ -14,13 +14,13 @@
 
 
 def add_usage(total: dict[str, float], added: dict[str, float]) -> None:
-    """Add processors per customer to a total."""
+    """Add CPUs per customer to a total, in place."""
     for customer, cpus in added.items():
         total[customer] = total.get(customer, 0.0) + cpus
 
 
 class Cells:
-    """The cells owned here, kept in step with the membership's claims."""
+    """The cells owned by this process, following its membership's claims."""
 
     def __init__(self, opts: options.Options, name: str,
                  kv: kvclient.Client, chosen_strategy: strategy.Strategy,
@@ -41,11 +41,11 @@
         members.on_release = self.stop_cell
 
     def home_cell(self, job_id: str) -> int:
-        """Return the cell where a job is first recorded."""
+        """Return the cell in which a job is recorded first."""
         return self.ring.get_node(job_id)
 
     def start_cell(self, claim: membership.Claim) -> None:
-        """Start running a cell this process now owns."""
+        """Start scheduling a cell that this process has claimed."""
         table = jobtable.JobTable(
             self.kv, claim.cell, self.name, claim.fence,
             self.opts.commit_pace, self.opts.timings.job_retention)
@@ -60,14 +60,14 @@
                          name=f"cell-{claim.cell}").start()
 
     def stop_cell(self, number: int, still_owned: bool) -> None:
-        """Stop running a cell; commit what is staged if still held."""
+        """Stop scheduling a cell; commit staged changes if still owned."""
         with self.lock:
             owned = self.owned.pop(number, None)
         if owned is not None:
             owned.stop(flush=still_owned)
 
     def get(self, number: int) -> cell_mod.Cell | None:
-        """Return an owned, loaded cell, or None when it is not ours."""
+        """Return a loaded cell, or None if this process doesn't own it."""
         with self.lock:
             owned = self.owned.get(number)
         if owned is None or not owned.loaded or owned.table.ownership_lost:
@@ -80,18 +80,18 @@
             return [c for c in self.owned.values() if c.loaded]
 
     def usage(self) -> dict[str, float]:
-        """Return the processors placed per customer in the cells here."""
+        """Return the CPUs placed per customer in this process's cells."""
         cpus_placed: dict[str, float] = {}
         for cell in self.all():
             add_usage(cpus_placed, cell.usage())
         return cpus_placed
 
     def fleet_usage(self) -> dict[str, float]:
-        """Return the processors placed per customer in the whole fleet."""
+        """Return the CPUs placed per customer in the whole fleet."""
         cpus_placed = self.usage()
         add_usage(cpus_placed, self.remote_usage())
         return cpus_placed
 
     def workers(self) -> list[str]:
-        """Return the names of the workers followed here."""
+        """Return the names of the workers in this process's cells."""
         return sorted(name for cell in self.all() for name in cell.links)
--- a/sycamorefield/jobtable.py
+++ b/sycamorefield/jobtable.py
@@ -1,15 +1,15 @@
-"""Keep one cell's jobs in the key-value service by group commit.
-
-A cell's owner holds its jobs in memory and writes them, all together, to
-one key, /cells/<cell>/jobs, by compare-and-swap.  Many changes made between
-two writes share one write, so that task starts are not bounded by the
-writes per second that the service allows.  Effects outside the process (a
-start sent to a worker, an "accepted" answer) wait until the change they
-depend on is committed.
-
-Taking over a cell rewrites the key first, under the new owner's epoch.  Any
-write still under way from an earlier owner then fails its compare-and-swap,
-whatever that owner believes about its lease.
+"""Store one cell's jobs in the key-value service by group commit.
+
+The owner of a cell keeps its jobs in memory and writes all of them to one
+key, /cells/<cell>/jobs, by compare-and-swap.  All changes made between two
+writes share one write, so that the service's limit on writes per second does
+not limit the rate of task starts.  Effects outside the process (a start sent
+to a worker, an "accepted" answer) wait until the change they depend on is
+committed.
+
+A new owner first rewrites the key under its own epoch.  Any write still in
+progress from an earlier owner then fails its compare-and-swap, whatever that
+owner believes about its lease.
 """
 
 import collections
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass
 class JobRecord:
-    """A job: what it is, where it runs and how far it got."""
+    """The stored state of a job: its work, placement and progress."""
 
     job_id: str
     customer: str
@@ -66,12 +66,12 @@
     apart: bool = False
 
     def to_message(self) -> pb.JobRecord:
-        """Return the record as sent and stored."""
+        """Return the message in which the record is sent and stored."""
         return pb.JobRecord(**vars(self))
 
     @classmethod
     def from_message(cls, message: pb.JobRecord) -> "JobRecord":
-        """Return the record that a message holds."""
+        """Return the record contained in a message."""
         values = {f.name: getattr(message, f.name)
                   for f in dataclasses.fields(cls)}
         values["failed_on"] = list(message.failed_on)
@@ -81,7 +81,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class CustomerWork:
-    """Whose work of what name is running."""
+    """A customer and a kind of work, as a key for counting jobs."""
 
     customer: str
     work: str
@@ -89,14 +89,14 @@
 
 def new_record(job_id: str, customer: str, work: options.Work,
                priority: str) -> JobRecord:
-    """Return the record of a newly accepted job."""
+    """Return the record of a job accepted now."""
     return JobRecord(job_id=job_id, customer=customer, work=work.name,
                      kind=work.kind, priority=priority,
                      accepted_at=time.time())
 
 
 def table_key(cell: int) -> str:
-    """Return the key that holds a cell's jobs."""
+    """Return the store key of a cell's job table."""
     return f"/cells/{cell}/jobs"
 
 
@@ -115,13 +115,13 @@
         self.retention_s = retention_s
         self.changed = threading.Condition()
         self.records: dict[str, JobRecord] = {}
-        # Each job's part of the stored value, encoded once per change: a
-        # repeated field's encoding is the concatenation of its elements'.
+        # The encoding of each record, computed once per change.  The encoding
+        # of a repeated field is the concatenation of those of its elements.
         self.encoded_records: dict[str, bytes] = {}
         self.change_versions: dict[str, int] = {}
-        # Indexes, so that looking for a few jobs costs nothing for the
-        # thousands that run: by state, by worker, and how many run for
-        # each customer of each work.
+        # Indexes that avoid scanning thousands of running jobs to find a few:
+        # ids by state, ids of placed jobs by worker, and the number of placed
+        # jobs per customer and work.
         self.ids_by_state: dict[str, set[str]] = {}
         self.ids_by_worker: dict[str, set[str]] = {}
         self.placed_counts: collections.Counter[CustomerWork] = (
@@ -138,7 +138,7 @@
         self.on_commit: typing.Callable[[], None] = lambda: None
 
     def load(self) -> bool:
-        """Take the table over from whoever held it; False to try again."""
+        """Take over the table from its last owner; False to try again."""
         reply = self.kv.get(self.key)
         if not isinstance(reply, kvclient.result.Success):
             return False
@@ -160,7 +160,7 @@
             return True
         swap = self.kv.cas(self.key, self.revision, value).value_or(None)
         if swap is None or not swap.succeeded:
-            # Lost reply or a last write of the earlier owner: read again.
+            # The reply was lost or the earlier owner wrote: read again.
             return False
         self.revision = swap.revision
         self.healthy = True
@@ -180,7 +180,7 @@
         self.size_bytes += len(encoded)
 
     def _unindex(self, job_id: str) -> None:
-        """Take what is recorded of a job out of the indexes."""
+        """Remove a job's current record from the indexes."""
         previous = self.records.get(job_id)
         if previous is None:
             return
@@ -196,7 +196,7 @@
         return b"".join([self.header, *self.encoded_records.values()])
 
     def stage(self, record: JobRecord) -> int:
-        """Add or replace a record; return the version to wait for."""
+        """Add or replace a record; return the table version to wait for."""
         with self.changed:
             self._put(record)
             self.version += 1
@@ -205,7 +205,7 @@
             return self.version
 
     def get(self, job_id: str) -> JobRecord | None:
-        """Return a copy of a record, or None."""
+        """Return a copy of a job's record, or None."""
         with self.changed:
             record = self.records.get(job_id)
             return dataclasses.replace(record) if record else None
@@ -218,7 +218,7 @@
                     for job_id in self.ids_by_state.get(state, ())]
 
     def running_counts(self) -> dict["CustomerWork", int]:
-        """Return how many jobs are placed, per customer and work."""
+        """Return the number of placed jobs per customer and work."""
         with self.changed:
             return dict(self.placed_counts)
 
@@ -229,7 +229,7 @@
                     for job_id in self.ids_by_worker.get(worker, ())]
 
     def version_of(self, job_id: str) -> int:
-        """Return the version of a job's last change (0: as loaded)."""
+        """Return the version of a job's last change, 0 if unchanged."""
         with self.changed:
             return self.change_versions.get(job_id, 0)
 
@@ -240,11 +240,11 @@
                     <= self.committed_version)
 
     def full(self) -> bool:
-        """Return whether the stored value has no room for new jobs."""
+        """Return whether the stored value is too large for new jobs."""
         return self.size_bytes > MAX_VALUE_BYTES
 
     def wait(self, version: int, timeout: float) -> bool:
-        """Wait until version is committed; False on loss or timeout."""
+        """Wait for a version to be committed; False on loss or timeout."""
         with self.changed:
             self.changed.wait_for(
                 lambda: self.committed_version >= version
@@ -252,7 +252,7 @@
             return self.committed_version >= version
 
     def run(self) -> None:
-        """Commit staged changes, at most one write per pace seconds."""
+        """Commit staged changes, at most one write per commit interval."""
         while not self.stopped and not self.ownership_lost:
             with self.changed:
                 self.changed.wait_for(
@@ -264,15 +264,16 @@
                 time.sleep(pause_s)
 
     def commit_once(self) -> bool:
-        """Write everything staged so far; return whether it is settled."""
+        """Write all staged changes; return whether the outcome is known."""
         if self.uncertain_write is None:
             with self.changed:
                 self._prune(time.time())
                 self.uncertain_write = (self.version, self._value())
-        # A write whose reply was lost is repeated to the letter until its
-        # outcome is known: the stored value then tells our own write (it
-        # took effect, take its revision) from a successor's (ours never
-        # will).  A changed value could not be told apart from a race.
+        # A write whose reply was lost is repeated with exactly the same value
+        # until its outcome is known.  If the stored value is this value, the
+        # write took effect and its revision is used; otherwise a successor has
+        # written and this write never will take effect.  With a changed value
+        # the two cases could not be distinguished.
         version, value = self.uncertain_write
         swap_result = self.kv.cas(self.key, self.revision, value)
         self.commits += 1
@@ -308,9 +309,10 @@
             self.changed.notify_all()
 
     def _prune(self, now: float) -> None:
-        # A pointer to a moved job stays as long as the job may run there:
-        # without it the job could not be found, and its id would be taken
-        # for a new job's.  peers.py ends it when the job has ended.
+        # The record of a job that moved to another cell stays for as long as
+        # the job may run there: without it the job could not be found, and its
+        # id would be accepted as that of a new job.  peers.py ends the record
+        # when the job has ended.
         expired = [job_id for state in FINISHED if state != MOVED
                    for job_id in self.ids_by_state.get(state, ())
                    if (now - self.records[job_id].finished_at
@@ -322,7 +324,7 @@
             self.change_versions.pop(job_id, None)
 
     def stop(self, flush_timeout_s: float = 0.0) -> None:
-        """Stop committing, after up to flush seconds for what is staged."""
+        """Stop committing; first wait for staged changes up to a timeout."""
         if flush_timeout_s:
             self.wait(self.version, flush_timeout_s)
         with self.changed:
--- a/sycamorefield/workerlink.py
+++ b/sycamorefield/workerlink.py
@@ -1,13 +1,13 @@
-"""Follow one worker of an owned cell.
-
-One thread keeps a report under way, which renews the leases of the worker's
-tasks; the other sends the starts and stops that the cell has committed and
-hands ended tasks to the cell to record.  A report lists what changed since
-the last one, and the worker holds it until a task ends, so that an end is
-known at once and a quiet worker costs one small call per report period.
-When the worker stays out of reach the link stops renewing; once every task
-lease must have lapsed, the worker counts as lost and the cell may run its
-jobs elsewhere.
+"""Connect the owner of a cell to one of the cell's workers.
+
+One thread always has a report call in progress, which renews the leases of
+the worker's tasks.  Another sends the starts and stops that the cell has
+committed and passes ended tasks to the cell to record.  A report lists the
+changes since the last one, and the worker delays its answer until a task
+ends.  The owner thus learns of an end at once, and an idle worker costs one
+small call per report period.  If the worker stays unreachable, the link stops
+renewing leases; once every task lease must have expired, the worker counts as
+lost and the cell may run its jobs elsewhere.
 """
 
 import dataclasses
@@ -26,13 +26,13 @@
 
 CALL_TIMEOUT_S = options.REPORT_GRACE
 MAX_MISSED_REPORTS = 3
-# The least time between two reports: many ends in a row share one.
+# Minimum time between two reports, so that ends in quick succession share one.
 MIN_REPORT_INTERVAL_S = 0.05
-# Starts and stops that got no answer are sent again this often, seconds;
-# with none of them, nothing is left to do until the link is woken.
+# Period of sending unanswered starts and stops again.  Without any, the link
+# has nothing to do until it is woken.
 RESEND_PERIOD_S = 1.0
 IDLE_PERIOD_S = 2.0
-# While jobs wait for room, progress is asked for this often, seconds.
+# Period of requesting task progress while jobs wait for capacity.
 PROGRESS_PERIOD_S = 1.0
 MIN_EXCLUSION_S = 1.0
 MAX_EXCLUSION_S = 30.0
@@ -42,9 +42,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class PlacedTask:
-    """A placement on a worker; it may be started once it is durable.
+    """A task placed on a worker; it may be started once it is durable.
 
-    It is unwanted when its job is cancelled or gives way to another.
+    It is unwanted if its job is cancelled or being evicted.
     """
 
     job_id: str
@@ -56,31 +56,34 @@
 
 
 class CellCallbacks(typing.Protocol):
-    """What a link needs of the cell that holds it."""
+    """The methods of a cell that its worker links call."""
 
     def record_ended(self, link: "WorkerLink",
                      ended: list[tasklist.EndedTask]) -> list[str]:
-        """Record ended tasks; return the ids of those recorded."""
+        """Record ended tasks; return the ids of durably recorded ones."""
 
     def placements(self, worker: str) -> dict[str, PlacedTask]:
-        """Return the placements on a worker, by task id."""
+        """Return the placed tasks of a worker by task id."""
 
     def note_started(self, placed: PlacedTask) -> None:
-        """Note a start that the worker accepted."""
+        """Record a task that the worker has started."""
 
     def note_not_started(self, link: "WorkerLink", placed: PlacedTask,
                          reason: str) -> None:
-        """Take back a start that was refused or is not wanted any more."""
+        """Requeue or end a job whose start was refused or is unwanted."""
 
     def worker_lost(self, link: "WorkerLink") -> None:
-        """Queue again every job of a lost worker."""
+        """Requeue all jobs of a lost worker."""
 
     def worker_crashed(self, link: "WorkerLink", task_ids: list[str],
                        crashed_at: float) -> None:
-        """Note tasks that ran when a worker ended, and when that was."""
+        """Handle the tasks that were running when a worker crashed.
+
+        crashed_at is in wall-clock seconds.
+        """
 
     def has_unplaced_jobs(self) -> bool:
-        """Return whether jobs wait for room, so that progress matters."""
+        """Return whether jobs wait for capacity, so progress is needed."""
 
 
 def _resources(demand: options.Capacity) -> pb.Resources:
@@ -89,7 +92,7 @@
 
 
 class WorkerLink:
-    """The owner's side of one worker: its tasks, room and health."""
+    """The owner's view of one worker: its tasks, capacity and health."""
 
     def __init__(self, opts: options.Options, machine: options.Machine,
                  owner: str, fence: int, cell: CellCallbacks,
@@ -118,9 +121,9 @@
         self.missed_reports = 0
         self.first_missed_at = 0.0
         self.capacity = machine.capacity
-        # The claim itself says nothing about when the last owner renewed:
-        # its messages stay valid for at most a membership TTL, so leases
-        # count as renewed now until a report says otherwise.
+        # The claim does not say when the last owner renewed the task leases.
+        # That owner's messages stay valid for at most a membership TTL, so
+        # leases count as renewed now until a report says otherwise.
         self.renewed_at = time.monotonic()
         self.excluded_until = 0.0
         self.exclusion_s = MIN_EXCLUSION_S
@@ -132,7 +135,7 @@
                 and now >= self.excluded_until)
 
     def used(self) -> options.Capacity:
-        """Return the sum of what the tasks placed here declare."""
+        """Return the total resources declared by the tasks placed here."""
         total = options.ZERO
         with self.lock:
             for demand in self.reservations.values():
@@ -140,12 +143,12 @@
         return total
 
     def reserve(self, task_id: str, demand: options.Capacity) -> None:
-        """Count a placed task against this worker's room."""
+        """Reserve capacity for a placed task."""
         with self.lock:
             self.reservations[task_id] = demand
 
     def release(self, task_id: str) -> None:
-        """Give back the room of a task."""
+        """Release the capacity reserved for a task."""
         with self.lock:
             self.reservations.pop(task_id, None)
 
@@ -156,10 +159,10 @@
         self.wake.set()
 
     def note_failure(self) -> None:
-        """Keep new tasks away for a while: a task failed here at once."""
-        # A worker that fails all that it starts looks free, so it draws
-        # every queued job to itself; backing off exponentially leaves the
-        # jobs to the workers that finish them.
+        """Exclude the worker from placement for a while after a failure."""
+        # A worker that fails every task looks free and would attract every
+        # queued job.  Exponential backoff leaves the jobs to workers that
+        # finish them.
         self.consecutive_failures += 1
         self.excluded_until = time.monotonic() + self.exclusion_s
         self.exclusion_s = min(MAX_EXCLUSION_S, self.exclusion_s * 2)
@@ -167,12 +170,12 @@
                     failures=self.consecutive_failures)
 
     def note_success(self) -> None:
-        """Clear the record of failures: a task finished here."""
+        """Reset the failure backoff after a task finished."""
         self.consecutive_failures = 0
         self.exclusion_s = MIN_EXCLUSION_S
 
     def run(self) -> None:
-        """Settle, stop and start until the cell is given up."""
+        """Record ends and send stops and starts until the link stops."""
         reporter = threading.Thread(target=self._run_reports, daemon=True,
                                     name=f"report-{self.machine.name}")
         reporter.start()
@@ -181,9 +184,10 @@
                 RESEND_PERIOD_S if self.has_pending_work else IDLE_PERIOD_S)
             self.wake.clear()
             self.has_pending_work = True
-            # Here, not where reports are waited for: a worker counted as
-            # lost while starts are on their way would get the rest of
-            # them, of jobs that are queued again (two runs of one job).
+            # Checked in this thread, not in the one that waits for reports: a
+            # worker counted as lost in the middle of sending starts would get
+            # the remaining ones, of jobs already requeued, and a job would run
+            # twice.
             self._check_lost()
             if self.has_reported and not self.missed_reports:
                 self._report_crash()
@@ -197,7 +201,7 @@
         self.channel.close()
 
     def _run_reports(self) -> None:
-        """Keep a report under way until the cell is given up."""
+        """Send reports one after another until the link stops."""
         while not self.stopped.is_set():
             sent_at = time.monotonic()
             reply = self._report()
@@ -216,9 +220,9 @@
                 max(0.0, sent_at + interval_s - time.monotonic()))
 
     def _report(self) -> pb.ReportReply | None:
-        # A process that was paused must not renew leases for a cell that
-        # has a new owner by now; not_after bounds a report that waits in a
-        # frozen worker's socket until after the lapse.
+        # A process resumed after a pause must not renew leases for a cell that
+        # may have a new owner.  not_after invalidates a report that stays in
+        # the socket of a frozen worker until after its task leases expired.
         renew = self.lease_held() and self.missed_reports < MAX_MISSED_REPORTS
         hold_s = 0.0 if self.missed_reports else self.opts.timings.report
         now = time.monotonic()
@@ -242,10 +246,10 @@
         return self.superseded
 
     def _apply_report(self, reply: pb.ReportReply) -> bool:
-        """Bring what is known of the worker up to date; return if it moved.
+        """Apply a report; return whether the link has something to do.
 
-        The worker's first answer after a silence counts as news too: the
-        starts and stops that waited for it go out then.
+        That is the case if tasks changed, or if this is the first answer
+        after missed reports: starts and stops may be waiting for it.
         """
         tasks_changed = self.task_list.apply_report(
             reply) or self.missed_reports > 0
@@ -259,7 +263,7 @@
         return tasks_changed
 
     def _check_lost(self) -> None:
-        """Count the worker as lost once all that it ran has lapsed."""
+        """Mark the worker as lost once all its task leases have expired."""
         since_renewal_s = time.monotonic() - self.renewed_at
         if (self.missed_reports and not self.lost
                 and since_renewal_s > self.opts.timings.lapse):
@@ -273,7 +277,7 @@
             self.cell.worker_crashed(self, lost, self.first_missed_at)
 
     def _record_ended(self) -> bool:
-        """Hand ended tasks over; return whether all are recorded."""
+        """Pass ended tasks to the cell; return whether all are recorded."""
         ended = self.task_list.ended()
         for task in ended:
             self.release(task.task_id)
@@ -282,15 +286,15 @@
         return len(self.task_list.to_acknowledge) == len(ended)
 
     def _reconcile(self, placements: dict[str, PlacedTask]) -> None:
-        """Count what runs here; have stopped what should not."""
+        """Reserve capacity for running tasks; stop those not wanted."""
         for task in self.task_list.running():
             self.reserve(task.task_id, options.Capacity(
                 task.declared.cpus, task.declared.memory_mb,
                 task.declared.accelerators))
             placed = placements.get(task.task_id)
             if placed is None:
-                # The job moved on without this task (its start was still
-                # under way when the worker counted as lost).
+                # The job was requeued without this task, whose start was
+                # still in progress when the worker was counted as lost.
                 events.emit(events.TASK_ORPHANED, task=task.task_id,
                             worker=self.machine.name)
             if placed is None or placed.unwanted:
@@ -301,7 +305,7 @@
                 self.reservations.setdefault(task_id, placed.work.demand)
 
     def _send_stops(self) -> bool:
-        """Send the stops that are due; return whether all were answered."""
+        """Send the pending stops; return whether all were answered."""
         with self.lock:
             pending_stops, self.pending_stops = self.pending_stops, set()
         for task_id in pending_stops:
@@ -318,12 +322,12 @@
         return not self.pending_stops
 
     def _send_starts(self, placements: dict[str, PlacedTask]) -> bool:
-        """Send the starts that are due; return whether all were answered."""
+        """Send the missing starts; return whether all were answered."""
         answered = True
         # Every committed placement that the worker does not list is started
-        # (again): a start is idempotent by task id, so one whose reply was
-        # lost, or one that an earlier owner committed and never sent, is
-        # simply sent until the worker answers.
+        # (again).  A start is idempotent by task id, so a start whose reply
+        # was lost, or that an earlier owner committed and never sent, is sent
+        # until the worker answers.
         for task_id, placed in placements.items():
             if self.task_list.has_task(task_id):
                 continue
@@ -369,6 +373,6 @@
             return None
 
     def stop(self) -> None:
-        """Stop following the worker."""
+        """Stop the threads of the link."""
         self.stopped.set()
         self.wake.set()
