--- a/sycamorefield/cell.py
+++ b/sycamorefield/cell.py
@@ -206,9 +206,9 @@
         for record in queued:
             if self._finish_unplaceable(record):
                 continue
-            wanted = (usage.get(record.customer, 0.0)
-                      + self._demand(record).cpus)
-            if wanted > self.opts.quotas.get(record.customer, math.inf):
+            customer_cpus = (usage.get(record.customer, 0.0)
+                             + self._demand(record).cpus)
+            if customer_cpus > self.opts.quotas.get(record.customer, math.inf):
                 continue
             if self._held_back(record, candidates):
                 continue
@@ -217,7 +217,7 @@
                 has_unplaced = True
                 self._handle_unplaced(record)
                 continue
-            usage[record.customer] = wanted
+            usage[record.customer] = customer_cpus
             self._stage_placement(record, chosen)
             placed += 1
         self.has_unplaced = has_unplaced
@@ -231,9 +231,9 @@
                 or time.monotonic() - self.urgent_seen_at > RECENT_URGENT_S
                 or _queued_s(record) >= HOLD_BACK_S):
             return False
-        unguarded = [c for c in candidates if not c.quiet]
-        total_cpus = sum(c.capacity.cpus for c in unguarded)
-        committed_cpus = sum(c.committed.cpus for c in unguarded)
+        not_quiet = [c for c in candidates if not c.quiet]
+        total_cpus = sum(c.capacity.cpus for c in not_quiet)
+        committed_cpus = sum(c.committed.cpus for c in not_quiet)
         return total_cpus - committed_cpus < URGENT_RESERVE_SHARE * total_cpus
 
     def _finish_unplaceable(self, record: jobtable.JobRecord) -> bool:
@@ -382,8 +382,8 @@
         return {record.task_id: workerlink.PlacedTask(
             record.job_id, record.task_id, self.opts.work[record.work],
             record.progress,
-            durable=(self.table.durable(record.job_id)
-                     and not self._waits_for_quarantine(record)),
+            may_start=(self.table.durable(record.job_id)
+                       and not self._waits_for_quarantine(record)),
             unwanted=(record.cancelled or record.task_id in self.evicting))
             for record in self.table.placed_on(worker)
             if record.work in self.opts.work}
@@ -517,9 +517,9 @@
                     if r.task_id in task_ids]
             quarantined = [
                 r for r in lost if self._ran_in_quarantine(r, crashed_at)]
-            young = [r for r in lost if crashed_at -
-                     r.placed_at < SUSPECT_AGE_S]
-            suspects = quarantined or young
+            recent = [r for r in lost if crashed_at -
+                      r.placed_at < SUSPECT_AGE_S]
+            suspects = quarantined or recent
             for record in self.table.placed_on(link.machine.name):
                 if record not in suspects:
                     record.placed_at = time.time()
--- a/sycamorefield/jobtable.py
+++ b/sycamorefield/jobtable.py
@@ -39,7 +39,13 @@
 
 @dataclasses.dataclass
 class JobRecord:
-    """The stored state of a job: its work, placement and progress."""
+    """The stored state of a job: its work, placement and progress.
+
+    Times are wall-clock seconds.  hops counts moves between cells, and
+    arrived_at is the time of the last move to this cell.  apart says
+    whether the last placement was a quarantine run, and crashes_apart counts
+    the worker crashes in such runs.
+    """
 
     job_id: str
     customer: str
--- a/sycamorefield/placement.py
+++ b/sycamorefield/placement.py
@@ -17,7 +17,10 @@
 
 @dataclasses.dataclass
 class Candidate:
-    """A worker's capacity and load, as known to the owner of its cell."""
+    """A worker's capacity and load, as known to the owner of its cell.
+
+    A quiet worker is reserved for services that noisy work would slow down.
+    """
 
     name: str
     zone: str
@@ -99,6 +102,7 @@
                candidates: list[Candidate]) -> Candidate | None:
         if len(candidates) > SAMPLE_SIZE:
             start = self.random.randrange(len(candidates))
+            # The prime stride spreads the sample over the list.
             sample = [candidates[(start + n * 7919) % len(candidates)]
                       for n in range(SAMPLE_SIZE)]
             chosen = self._best(work, sample)
--- a/sycamorefield/workerlink.py
+++ b/sycamorefield/workerlink.py
@@ -42,16 +42,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class PlacedTask:
-    """A task placed on a worker; it may be started once it is durable.
+    """A task placed on a worker.
 
-    It is unwanted if its job is cancelled or being evicted.
+    It may start once its placement is durable and no quarantine run on the
+    worker blocks it.  It is unwanted if its job is cancelled or being evicted.
     """
 
     job_id: str
     task_id: str
     work: options.Work
     progress: float
-    durable: bool
+    may_start: bool
     unwanted: bool
 
 
@@ -194,10 +195,10 @@
                 ends_recorded = self._record_ended()
                 placements = self.cell.placements(self.machine.name)
                 self._reconcile(placements)
-                stopped = self._send_stops()
-                started = self._send_starts(placements)
+                stops_answered = self._send_stops()
+                starts_answered = self._send_starts(placements)
                 self.has_pending_work = not (
-                    ends_recorded and stopped and started)
+                    ends_recorded and stops_answered and starts_answered)
         reporter.join()
         self.channel.close()
 
@@ -324,7 +325,7 @@
 
     def _send_starts(self, placements: dict[str, PlacedTask]) -> bool:
         """Send the missing starts; return whether all were answered."""
-        answered = True
+        all_answered = True
         # Every committed placement that the worker does not list is started
         # (again).  A start is idempotent by task id, so a start whose reply
         # was lost, or that an earlier owner committed and never sent, is sent
@@ -332,8 +333,8 @@
         for task_id, placed in placements.items():
             if self.task_list.has_task(task_id):
                 continue
-            if not placed.durable or not self.lease_held():
-                answered = False
+            if not placed.may_start or not self.lease_held():
+                all_answered = False
                 continue
             if placed.unwanted:
                 self.release(task_id)
@@ -341,7 +342,7 @@
                 continue
             answer = self._call_start(placed)
             if answer is None:
-                answered = False
+                all_answered = False
                 continue
             if answer.accepted:
                 self.task_list.note_started(pb.TaskStatus(
@@ -356,7 +357,7 @@
             else:
                 self.release(task_id)
                 self.cell.note_not_started(self, placed, answer.reason)
-        return answered
+        return all_answered
 
     def _call_start(self, placed: PlacedTask) -> pb.TaskReply | None:
         work = placed.work
--- a/tests/test_worker_crashes.py
+++ b/tests/test_worker_crashes.py
@@ -108,7 +108,7 @@
     env, cell = crashing_cell
     name = env.machines[0].spec.name
     cell.stop()
-    for job_id, apart in (("quarantined", True), ("other", False)):
+    for job_id, apart in (("quarantined", True), ("placed", False)):
         record = jobtable.new_record(job_id, "owners", env.renewal, "low")
         record.state, record.worker = jobtable.PLACED, name
         record.task_id, record.apart = job_id + ".1", apart
@@ -116,13 +116,13 @@
         cell.table.stage(record)
     assert deployment.wait_until(
         lambda: (cell.table.durable("quarantined")
-                 and cell.table.durable("other")), 3)
+                 and cell.table.durable("placed")), 3)
     cell._quarantine_worker(cell.table.get("quarantined"))
-    durable = {placed.job_id: placed.durable
-               for placed in cell.placements(name).values()}
-    assert durable == {"quarantined": True, "other": False}
+    may_start = {placed.job_id: placed.may_start
+                 for placed in cell.placements(name).values()}
+    assert may_start == {"quarantined": True, "placed": False}
     time.sleep(cell_mod.QUARANTINE_S)
-    assert all(placed.durable for placed in cell.placements(name).values())
+    assert all(placed.may_start for placed in cell.placements(name).values())
 
 
 def test_task_restarted_after_a_crash_counts_as_new(crashing_cell):
--- a/tests/test_workerlink.py
+++ b/tests/test_workerlink.py
@@ -214,7 +214,7 @@
     def __init__(self, work):
         self.lost_at = None
         self.starts = {f"j{n}.1": workerlink.PlacedTask(
-            f"j{n}", f"j{n}.1", work, 0.0, durable=True, unwanted=False)
+            f"j{n}", f"j{n}.1", work, 0.0, may_start=True, unwanted=False)
             for n in (1, 2)}
 
     def placements(self, name):
