--- a/sycamorefield/cell.py
+++ b/sycamorefield/cell.py
@@ -369,7 +369,7 @@
         work = self.opts.work[record.work]
         loads = [w for w in self._worker_loads()
                  if not self.strategy.placement.avoids(
-            work, w.name in self.opts.quiet_machines)]
+                     work, w.name in self.opts.quiet_machines)]
         victims = self.strategy.eviction.choose(
             work.demand, _preferred_workers(record, loads))
         for victim in victims:
