--- a/sycamorefield/entry.py
+++ b/sycamorefield/entry.py
@@ -53,14 +53,14 @@
         self.rule_cache = rulecache.RuleCache(self.kv, opts.timings.rules_poll)
         self.admin = ruleadmin.RuleAdmin(self.kv, self.rule_cache, name)
         self.members = membership.Membership(self.kv, opts, name)
-        policies = strategy.named(policy, seed=opts.entries.index(self.spec))
+        policies = strategy.by_name(policy, seed=opts.entries.index(self.spec))
         self.cells = cells.Cells(opts, name, self.kv, policies, self.members)
         self.peer_server = peers.PeerServer(opts, name, self.cells,
                                             self.rule_cache)
         self.peers = peers.Peers(opts, name, self.peer_server, self.members)
-        self.cells.usage_elsewhere = self.peers.usage
+        self.cells.remote_usage = self.peers.usage
         self.cells.move_target = self.peers.move_target
-        self.jobs = jobs.JobRouter(opts, self.cells.home, self.peers)
+        self.jobs = jobs.JobRouter(opts, self.cells.home_cell, self.peers)
         self.router = routing.Router(opts, self.spec.zone, self.http,
                                      policies.routing)
         self.router.interference = self.peers.interference
--- a/sycamorefield/peers.py
+++ b/sycamorefield/peers.py
@@ -81,7 +81,7 @@
         if not table.wait(version, COMMIT_TIMEOUT_S):
             return pb.SubmitReply(outcome=UNKNOWN)
         if existing is not None:
-            return pb.SubmitReply(outcome=EXISTS, job=existing.message())
+            return pb.SubmitReply(outcome=EXISTS, job=existing.to_message())
         cell.wake.set()
         return pb.SubmitReply(outcome=ACCEPTED, job=request.job)
 
@@ -105,7 +105,7 @@
                context: grpc.ServicerContext | None) -> pb.StatusReply:
         statuses = []
         for cell in self.cells.all():
-            free = cell.room()
+            free = cell.free_capacity()
             statuses.append(pb.CellStatus(
                 cell=cell.number, room=pb.Resources(
                     cpus=free.cpus, memory_mb=free.memory_mb,
@@ -129,7 +129,7 @@
 def _show_reply(record: jobtable.JobRecord | None) -> pb.ShowReply:
     if record is None:
         return pb.ShowReply(outcome=ABSENT)
-    return pb.ShowReply(outcome=FOUND, job=record.message())
+    return pb.ShowReply(outcome=FOUND, job=record.to_message())
 
 
 def serve(server: PeerServer, host: str, port: int) -> grpc.Server:
@@ -286,7 +286,7 @@
                ) -> pb.SubmitReply:
         """Submit a job to the owner of a cell."""
         return self._call(cell, "Submit",
-                          pb.SubmitRequest(cell=cell, job=record.message()),
+                          pb.SubmitRequest(cell=cell, job=record.to_message()),
                           pb.SubmitReply(outcome=UNKNOWN),
                           pb.SubmitReply(outcome=NOT_OWNER))
 
--- a/sycamorefield/placement.py
+++ b/sycamorefield/placement.py
@@ -1,10 +1,9 @@
-"""Choose the worker for a batch task, within its resources.
+"""Choose the worker for a batch task, within the worker's resources.
 
-Placement policies vary, so they share an abstract base.  FirstFit is the
-naive version the measurements compare against; Spread is the policy of
-earlier versions; Guarded keeps noisy work off the quiet workers that the
-latency-critical services rely on, and samples so that one decision costs
-the same on a fleet of any size.
+Guarded is the default policy.  It keeps noisy work off the quiet workers that
+latency-critical services rely on, and samples the candidates so that the cost
+of a decision does not grow with the fleet.  FirstFit and Spread are baselines
+for benchmarks.
 """
 
 import abc
@@ -13,12 +12,15 @@
 
 from sycamorefield import options
 
-SAMPLE = 24
+SAMPLE_SIZE = 24
 
 
 @dataclasses.dataclass
 class Candidate:
-    """A worker as the placing entry process sees it."""
+    """A worker's capacity and load, as known to the owner of its cell.
+
+    A quiet worker is reserved for services that noisy work would slow down.
+    """
 
     name: str
     zone: str
@@ -29,23 +31,23 @@
     quiet: bool = False
 
     def fits(self, demand: options.Capacity) -> bool:
-        """Return whether demand fits beside what is committed."""
+        """Return whether demand fits in the free capacity and slots."""
         return (self.slots_free > 0
                 and self.capacity.fits(self.committed, demand))
 
-    def take(self, demand: options.Capacity) -> None:
-        """Count a task just placed here."""
+    def reserve(self, demand: options.Capacity) -> None:
+        """Reserve capacity and a slot for a task placed here."""
         self.committed = self.committed.plus(demand)
         self.slots_free -= 1
 
 
-class Policy(abc.ABC):
-    """Pick a worker for a demand from candidates."""
+class PlacementPolicy(abc.ABC):
+    """Policy that chooses a worker for a task."""
 
     name = "policy"
 
     def avoids(self, work: options.Work, quiet: bool) -> bool:
-        """Return whether work never goes to a worker (kept quiet or not)."""
+        """Return whether work must not run on a quiet or other worker."""
         return False
 
     @abc.abstractmethod
@@ -54,8 +56,8 @@
         """Return the chosen candidate, or None when nothing fits."""
 
 
-class FirstFit(Policy):
-    """Take the first worker, in the order given, that has room."""
+class FirstFit(PlacementPolicy):
+    """Choose the first candidate in the given order that fits."""
 
     name = "first-fit"
 
@@ -67,8 +69,8 @@
         return None
 
 
-class Spread(Policy):
-    """Take the fitting worker with least interference, then least room."""
+class Spread(PlacementPolicy):
+    """Choose the worker with least interference, then least free CPU."""
 
     name = "spread"
 
@@ -82,12 +84,13 @@
             c.capacity.cpus - c.committed.cpus, c.name))
 
 
-class Guarded(Policy):
-    """Keep noisy work off quiet workers; else the emptiest of a sample.
+class Guarded(PlacementPolicy):
+    """Choose the least loaded of a sample; keep noisy work off quiet workers.
 
-    Noisy work slows every service beside it, so it goes to the workers
-    that are not kept quiet.  Among those, the least loaded of a random
-    sample spreads interference evenly, which costs batch work the least.
+    Noisy work slows every service on the same worker, so it runs only on
+    workers that are not reserved as quiet.  Choosing the least loaded worker
+    of a random sample spreads interference evenly, which slows batch work the
+    least.
     """
 
     name = "guarded"
@@ -97,13 +100,14 @@
 
     def choose(self, work: options.Work,
                candidates: list[Candidate]) -> Candidate | None:
-        if len(candidates) > SAMPLE:
+        if len(candidates) > SAMPLE_SIZE:
             start = self.random.randrange(len(candidates))
-            some = [candidates[(start + n * 7919) % len(candidates)]
-                    for n in range(SAMPLE)]
-            found = self._best(work, some)
-            if found is not None:
-                return found
+            # The prime stride spreads the sample over the list.
+            sample = [candidates[(start + n * 7919) % len(candidates)]
+                      for n in range(SAMPLE_SIZE)]
+            chosen = self._best(work, sample)
+            if chosen is not None:
+                return chosen
         return self._best(work, candidates)
 
     def avoids(self, work: options.Work, quiet: bool) -> bool:
--- a/sycamorefield/workerlink.py
+++ b/sycamorefield/workerlink.py
@@ -1,13 +1,13 @@
-"""Follow one worker of an owned cell.
-
-One thread keeps a report under way, which renews the leases of the worker's
-tasks; the other sends the starts and stops that the cell has committed and
-hands ended tasks to the cell to record.  A report lists what changed since
-the last one, and the worker holds it until a task ends, so that an end is
-known at once and a quiet worker costs one small call per report period.
-When the worker stays out of reach the link stops renewing; once every task
-lease must have lapsed, the worker counts as lost and the cell may run its
-jobs elsewhere.
+"""Connect the owner of a cell to one of the cell's workers.
+
+One thread always has a report call in progress, which renews the leases of
+the worker's tasks.  Another sends the starts and stops that the cell has
+committed and passes ended tasks to the cell to record.  A report lists the
+changes since the last one, and the worker delays its answer until a task
+ends.  The owner thus learns of an end at once, and an idle worker costs one
+small call per report period.  If the worker stays unreachable, the link stops
+renewing leases; once every task lease must have expired, the worker counts as
+lost and the cell may run its jobs elsewhere.
 """
 
 import dataclasses
@@ -24,63 +24,67 @@
 from sycamorefield import sycamorefield_pb2_grpc as pb_grpc
 from sycamorefield import tasklist
 
-CALL_TIMEOUT = options.REPORT_GRACE_S
-UNREACHABLE_REPORTS = 3
-# The least time between two reports: many ends in a row share one.
-REPORT_GAP = 0.05
-# Starts and stops that got no answer are sent again this often, seconds;
-# with none of them, nothing is left to do until the link is woken.
-RESEND_PERIOD = 1.0
-IDLE_PERIOD = 2.0
-# While jobs wait for room, progress is asked for this often, seconds.
-PROGRESS_PERIOD = 1.0
-SHUN_FIRST = 1.0
-SHUN_LONGEST = 30.0
+CALL_TIMEOUT_S = options.REPORT_GRACE_S
+MAX_MISSED_REPORTS = 3
+# Minimum time between two reports, so that ends in quick succession share one.
+MIN_REPORT_INTERVAL_S = 0.05
+# Period of sending unanswered starts and stops again.  Without any, the link
+# has nothing to do until it is woken.
+RESEND_PERIOD_S = 1.0
+IDLE_PERIOD_S = 2.0
+# Period of requesting task progress while jobs wait for capacity.
+PROGRESS_PERIOD_S = 1.0
+MIN_EXCLUSION_S = 1.0
+MAX_EXCLUSION_S = 30.0
 FAILED = "failed"
 UNWANTED = "unwanted"
 
 
 @dataclasses.dataclass(frozen=True)
-class Start:
-    """A placement on a worker; it may be started once it is durable.
+class PlacedTask:
+    """A task placed on a worker.
 
-    It is unwanted when its job is cancelled or gives way to another.
+    It may start once its placement is durable and no quarantine run on the
+    worker blocks it.  It is unwanted if its job is cancelled or being evicted.
     """
 
     job_id: str
     task_id: str
     work: options.Work
     progress: float
-    durable: bool
+    may_start: bool
     unwanted: bool
 
 
-class LinkOwner(typing.Protocol):
-    """What a link needs of the cell that holds it."""
+class CellCallbacks(typing.Protocol):
+    """The methods of a cell that its worker links call."""
 
-    def settle(self, link: "WorkerLink",
-               ended: list[tasklist.Ended]) -> list[str]:
-        """Record ended tasks; return the ids of those recorded."""
+    def record_ended(self, link: "WorkerLink",
+                     ended: list[tasklist.EndedTask]) -> list[str]:
+        """Record ended tasks; return the ids of durably recorded ones."""
 
-    def expected(self, worker: str) -> dict[str, Start]:
-        """Return the placements on a worker, by task id."""
+    def placements(self, worker: str) -> dict[str, PlacedTask]:
+        """Return the placed tasks of a worker by task id."""
 
-    def started(self, start: Start) -> None:
-        """Note a start that the worker accepted."""
+    def note_started(self, placed: PlacedTask) -> None:
+        """Record a task that the worker has started."""
 
-    def not_started(self, link: "WorkerLink", start: Start,
-                    reason: str) -> None:
-        """Take back a start that was refused or is not wanted any more."""
+    def note_not_started(self, link: "WorkerLink", placed: PlacedTask,
+                         reason: str) -> None:
+        """Requeue or end a job whose start was refused or is unwanted."""
 
     def worker_lost(self, link: "WorkerLink") -> None:
-        """Queue again every job of a lost worker."""
+        """Requeue all jobs of a lost worker."""
 
     def worker_crashed(self, link: "WorkerLink", task_ids: list[str],
-                       at: float) -> None:
-        """Note tasks that ran when a worker ended, and when that was."""
+                       crashed_at: float) -> None:
+        """Handle the tasks that were running when a worker crashed.
 
-    def crowded(self) -> bool:
-        """Return whether jobs wait for room, so that progress matters."""
+        crashed_at is in wall-clock seconds.
+        """
+
+    def has_unplaced_jobs(self) -> bool:
+        """Return whether jobs wait for capacity, so progress is needed."""
 
 
 def _resources(demand: options.Capacity) -> pb.Resources:
@@ -89,280 +93,288 @@
 
 
 class WorkerLink:
-    """The owner's side of one worker: its tasks, room and health."""
+    """The owner's view of one worker: its tasks, capacity and health."""
 
     def __init__(self, opts: options.Options, machine: options.WorkerSpec,
-                 owner: str, fence: int, cell: LinkOwner,
-                 holds: typing.Callable[[], bool]) -> None:
+                 owner: str, fence: int, cell: CellCallbacks,
+                 lease_held: typing.Callable[[], bool]) -> None:
         self.opts = opts
         self.machine = machine
         self.owner = owner
         self.fence = fence
         self.cell = cell
-        self.holds = holds
+        self.lease_held = lease_held
         self.channel = channels.connect(
             f"{opts.host}:{machine.grpc_port}")
         self.stub = pb_grpc.WorkerStub(self.channel)
         self.lock = threading.Lock()
-        self.stops: set[str] = set()
+        self.pending_stops: set[str] = set()
         self.wake = threading.Event()
         self.stopped = threading.Event()
-        self.committed: dict[str, options.Capacity] = {}
+        self.reservations: dict[str, options.Capacity] = {}
         self.interference = 0.0
-        self.known = tasklist.TaskList()
+        self.task_list = tasklist.TaskList()
         self.progress_asked_at = 0.0
         self.superseded = False
-        self.unfinished = True
-        self.reached = False
+        self.has_pending_work = True
+        self.has_reported = False
         self.lost = False
-        self.misses = 0
-        self.missed_at = 0.0
+        self.missed_reports = 0
+        self.first_missed_at = 0.0
         self.capacity = machine.capacity
-        # The claim itself says nothing about when the last owner renewed:
-        # its messages stay valid for at most a membership TTL, so leases
-        # count as renewed now until a report says otherwise.
+        # The claim does not say when the last owner renewed the task leases.
+        # That owner's messages stay valid for at most a membership TTL, so
+        # leases count as renewed now until a report says otherwise.
         self.renewed_at = time.monotonic()
-        self.shunned_until = 0.0
-        self.shun_seconds = SHUN_FIRST
-        self.failures_in_row = 0
+        self.excluded_until = 0.0
+        self.exclusion_s = MIN_EXCLUSION_S
+        self.consecutive_failures = 0
 
     def usable(self, now: float) -> bool:
         """Return whether new tasks may be placed here now."""
-        return (self.reached and not self.misses
-                and now >= self.shunned_until)
+        return (self.has_reported and not self.missed_reports
+                and now >= self.excluded_until)
 
     def used(self) -> options.Capacity:
-        """Return the sum of what the tasks placed here declare."""
+        """Return the total resources declared by the tasks placed here."""
         total = options.ZERO_CAPACITY
         with self.lock:
-            for demand in self.committed.values():
+            for demand in self.reservations.values():
                 total = total.plus(demand)
         return total
 
     def reserve(self, task_id: str, demand: options.Capacity) -> None:
-        """Count a placed task against this worker's room."""
+        """Reserve capacity for a placed task."""
         with self.lock:
-            self.committed[task_id] = demand
+            self.reservations[task_id] = demand
 
-    def free(self, task_id: str) -> None:
-        """Give back the room of a task."""
+    def release(self, task_id: str) -> None:
+        """Release the capacity reserved for a task."""
         with self.lock:
-            self.committed.pop(task_id, None)
+            self.reservations.pop(task_id, None)
 
     def stop_task(self, task_id: str) -> None:
         """Ask the worker to checkpoint and stop a task."""
         with self.lock:
-            self.stops.add(task_id)
+            self.pending_stops.add(task_id)
         self.wake.set()
 
     def note_failure(self) -> None:
-        """Keep new tasks away for a while: a task failed here at once."""
-        # A worker that fails all that it starts looks free, so it draws
-        # every queued job to itself; backing off exponentially leaves the
-        # jobs to the workers that finish them.
-        self.failures_in_row += 1
-        self.shunned_until = time.monotonic() + self.shun_seconds
-        self.shun_seconds = min(SHUN_LONGEST, self.shun_seconds * 2)
+        """Exclude the worker from placement for a while after a failure."""
+        # A worker that fails every task looks free and would attract every
+        # queued job.  Exponential backoff leaves the jobs to workers that
+        # finish them.
+        self.consecutive_failures += 1
+        self.excluded_until = time.monotonic() + self.exclusion_s
+        self.exclusion_s = min(MAX_EXCLUSION_S, self.exclusion_s * 2)
         events.emit(events.WORKER_EXCLUDED, worker=self.machine.name,
-                    failures=self.failures_in_row)
+                    failures=self.consecutive_failures)
 
     def note_success(self) -> None:
-        """Clear the record of failures: a task finished here."""
-        self.failures_in_row = 0
-        self.shun_seconds = SHUN_FIRST
+        """Reset the failure backoff after a task finished."""
+        self.consecutive_failures = 0
+        self.exclusion_s = MIN_EXCLUSION_S
 
     def run(self) -> None:
-        """Settle, stop and start until the cell is given up."""
-        follower = threading.Thread(target=self._follow, daemon=True,
+        """Record ends and send stops and starts until the link stops."""
+        reporter = threading.Thread(target=self._run_reports, daemon=True,
                                     name=f"report-{self.machine.name}")
-        follower.start()
+        reporter.start()
         while not self.stopped.is_set():
-            self.wake.wait(RESEND_PERIOD if self.unfinished else IDLE_PERIOD)
+            self.wake.wait(
+                RESEND_PERIOD_S if self.has_pending_work else IDLE_PERIOD_S)
             self.wake.clear()
-            self.unfinished = True
-            # Here, not where reports are waited for: a worker counted as
-            # lost while starts are on their way would get the rest of
-            # them, of jobs that are queued again (two runs of one job).
+            self.has_pending_work = True
+            # Checked in this thread, not in the one that waits for reports: a
+            # worker counted as lost in the middle of sending starts would get
+            # the remaining ones, of jobs already requeued, and a job would run
+            # twice.
             self._check_lost()
-            if self.reached and not self.misses:
-                self._note_crash()
-                settled = self._settle()
-                expected = self.cell.expected(self.machine.name)
-                self._compare(expected)
-                stopped = self._send_stops()
-                started = self._send_starts(expected)
-                self.unfinished = not (settled and stopped and started)
-        follower.join()
+            if self.has_reported and not self.missed_reports:
+                self._report_crash()
+                ends_recorded = self._record_ended()
+                placements = self.cell.placements(self.machine.name)
+                self._reconcile(placements)
+                stops_answered = self._send_stops()
+                starts_answered = self._send_starts(placements)
+                self.has_pending_work = not (
+                    ends_recorded and stops_answered and starts_answered)
+        reporter.join()
         self.channel.close()
 
-    def _follow(self) -> None:
-        """Keep a report under way until the cell is given up."""
+    def _run_reports(self) -> None:
+        """Send reports one after another until the link stops."""
         while not self.stopped.is_set():
-            asked_at = time.monotonic()
+            sent_at = time.monotonic()
             reply = self._report()
             if reply is None:
-                if not self.misses:
-                    self.missed_at = time.time()
-                self.misses += 1
+                if not self.missed_reports:
+                    self.first_missed_at = time.time()
+                self.missed_reports += 1
                 self.wake.set()
-            elif not self._superseded(reply) and self._take_in(reply):
+            elif (not self._check_superseded(reply)
+                    and self._apply_report(reply)):
                 self.wake.set()
-            gap = (self.opts.timings.report if self.misses or self.superseded
-                   else REPORT_GAP)
-            self.stopped.wait(max(0.0, asked_at + gap - time.monotonic()))
+            interval_s = (self.opts.timings.report
+                          if self.missed_reports or self.superseded
+                          else MIN_REPORT_INTERVAL_S)
+            self.stopped.wait(
+                max(0.0, sent_at + interval_s - time.monotonic()))
 
     def _report(self) -> pb.ReportReply | None:
-        # A process that was paused must not renew leases for a cell that
-        # has a new owner by now; not_after bounds a report that waits in a
-        # frozen worker's socket until after the lapse.
-        renew = self.holds() and self.misses < UNREACHABLE_REPORTS
-        hold = 0.0 if self.misses else self.opts.timings.report
+        # A process resumed after a pause must not renew leases for a cell that
+        # may have a new owner.  not_after invalidates a report that stays in
+        # the socket of a frozen worker until after its task leases expired.
+        renew = self.lease_held() and self.missed_reports < MAX_MISSED_REPORTS
+        hold_s = 0.0 if self.missed_reports else self.opts.timings.report
         now = time.monotonic()
         if renew:
             self.renewed_at = now
-        progress = (now - self.progress_asked_at > PROGRESS_PERIOD
-                    and self.cell.crowded())
+        progress = (now - self.progress_asked_at > PROGRESS_PERIOD_S
+                    and self.cell.has_unplaced_jobs())
         if progress:
             self.progress_asked_at = now
-        request = self.known.ask(pb.ReportRequest(
+        request = self.task_list.fill_request(pb.ReportRequest(
             fence=self.fence, owner=self.owner, renew=renew,
-            not_after=time.time() + CALL_TIMEOUT,
-            wait_ms=0 if progress else int(hold * 1000), progress=progress))
+            not_after=time.time() + CALL_TIMEOUT_S,
+            wait_ms=0 if progress else int(hold_s * 1000), progress=progress))
         try:
-            return self.stub.Report(request, timeout=hold + CALL_TIMEOUT)
+            return self.stub.Report(request, timeout=hold_s + CALL_TIMEOUT_S)
         except grpc.RpcError:
             return None
 
-    def _superseded(self, reply: pb.ReportReply) -> bool:
+    def _check_superseded(self, reply: pb.ReportReply) -> bool:
         self.superseded = reply.fence_seen > self.fence
         return self.superseded
 
-    def _take_in(self, reply: pb.ReportReply) -> bool:
-        """Bring what is known of the worker up to date; return if it moved.
+    def _apply_report(self, reply: pb.ReportReply) -> bool:
+        """Apply a report; return whether the link has something to do.
 
-        The worker's first answer after a silence counts as news too: the
-        starts and stops that waited for it go out then.
+        That is the case if tasks changed, or if this is the first answer
+        after missed reports: starts and stops may be waiting for it.
         """
-        news = self.known.take_in(reply) or self.misses > 0
+        tasks_changed = self.task_list.apply_report(
+            reply) or self.missed_reports > 0
         self.interference = reply.interference
         self.capacity = options.Capacity(
             reply.capacity.cpus, reply.capacity.memory_mb,
             reply.capacity.accelerators)
-        self.misses = 0
-        self.reached = True
+        self.missed_reports = 0
+        self.has_reported = True
         self.lost = False
-        return news
+        return tasks_changed
 
     def _check_lost(self) -> None:
-        """Count the worker as lost once all that it ran has lapsed."""
-        silent = time.monotonic() - self.renewed_at
-        if (self.misses and not self.lost
-                and silent > self.opts.timings.orphan_timeout_s):
+        """Mark the worker as lost once all its task leases have expired."""
+        since_renewal_s = time.monotonic() - self.renewed_at
+        if (self.missed_reports and not self.lost
+                and since_renewal_s > self.opts.timings.orphan_timeout_s):
             self.lost = True
             events.emit(events.WORKER_LOST, worker=self.machine.name)
             self.cell.worker_lost(self)
 
-    def _note_crash(self) -> None:
-        lost = self.known.take_lost()
+    def _report_crash(self) -> None:
+        lost = self.task_list.take_lost_tasks()
         if lost:
-            self.cell.worker_crashed(self, lost, self.missed_at)
+            self.cell.worker_crashed(self, lost, self.first_missed_at)
 
-    def _settle(self) -> bool:
-        """Hand ended tasks over; return whether all are recorded."""
-        ended = self.known.ended()
+    def _record_ended(self) -> bool:
+        """Pass ended tasks to the cell; return whether all are recorded."""
+        ended = self.task_list.ended()
         for task in ended:
-            self.free(task.task_id)
-        self.known.recorded = self.cell.settle(self, ended) if ended else []
-        return len(self.known.recorded) == len(ended)
-
-    def _compare(self, expected: dict[str, Start]) -> None:
-        """Count what runs here; have stopped what should not."""
-        for task in self.known.running():
+            self.release(task.task_id)
+        self.task_list.to_acknowledge = self.cell.record_ended(
+            self, ended) if ended else []
+        return len(self.task_list.to_acknowledge) == len(ended)
+
+    def _reconcile(self, placements: dict[str, PlacedTask]) -> None:
+        """Reserve capacity for running tasks; stop those not wanted."""
+        for task in self.task_list.running():
             self.reserve(task.task_id, options.Capacity(
                 task.declared.cpus, task.declared.memory_mb,
                 task.declared.accelerators))
-            start = expected.get(task.task_id)
-            if start is None:
-                # The job moved on without this task (its start was still
-                # under way when the worker counted as lost).
+            placed = placements.get(task.task_id)
+            if placed is None:
+                # The job was requeued without this task, whose start was
+                # still in progress when the worker was counted as lost.
                 events.emit(events.TASK_ORPHANED, task=task.task_id,
                             worker=self.machine.name)
-            if start is None or start.unwanted:
+            if placed is None or placed.unwanted:
                 with self.lock:
-                    self.stops.add(task.task_id)
+                    self.pending_stops.add(task.task_id)
         with self.lock:
-            for task_id, start in expected.items():
-                self.committed.setdefault(task_id, start.work.demand)
+            for task_id, placed in placements.items():
+                self.reservations.setdefault(task_id, placed.work.demand)
 
     def _send_stops(self) -> bool:
-        """Send the stops that are due; return whether all were answered."""
+        """Send the pending stops; return whether all were answered."""
         with self.lock:
-            stops, self.stops = self.stops, set()
-        for task_id in stops:
+            pending_stops, self.pending_stops = self.pending_stops, set()
+        for task_id in pending_stops:
             try:
                 answer = self.stub.StopTask(pb.StopTaskRequest(
                     task_id=task_id, fence=self.fence, owner=self.owner,
-                    checkpoint=True), timeout=CALL_TIMEOUT)
+                    checkpoint=True), timeout=CALL_TIMEOUT_S)
             except grpc.RpcError:
                 with self.lock:
-                    self.stops.add(task_id)
+                    self.pending_stops.add(task_id)
                 continue
-            if self.known.stopped(task_id, answer):
+            if self.task_list.note_stopped(task_id, answer):
                 self.wake.set()
-        return not self.stops
+        return not self.pending_stops
 
-    def _send_starts(self, expected: dict[str, Start]) -> bool:
-        """Send the starts that are due; return whether all were answered."""
-        answered = True
+    def _send_starts(self, placements: dict[str, PlacedTask]) -> bool:
+        """Send the missing starts; return whether all were answered."""
+        all_answered = True
         # Every committed placement that the worker does not list is started
-        # (again): a start is idempotent by task id, so one whose reply was
-        # lost, or one that an earlier owner committed and never sent, is
-        # simply sent until the worker answers.
-        for task_id, start in expected.items():
-            if self.known.lists(task_id):
+        # (again).  A start is idempotent by task id, so a start whose reply
+        # was lost, or that an earlier owner committed and never sent, is sent
+        # until the worker answers.
+        for task_id, placed in placements.items():
+            if self.task_list.has_task(task_id):
                 continue
-            if not start.durable or not self.holds():
-                answered = False
+            if not placed.may_start or not self.lease_held():
+                all_answered = False
                 continue
-            if start.unwanted:
-                self.free(task_id)
-                self.cell.not_started(self, start, UNWANTED)
+            if placed.unwanted:
+                self.release(task_id)
+                self.cell.note_not_started(self, placed, UNWANTED)
                 continue
-            answer = self._start(start)
+            answer = self._call_start(placed)
             if answer is None:
-                answered = False
+                all_answered = False
                 continue
             if answer.accepted:
-                self.known.started(pb.TaskStatus(
-                    task_id=task_id, job_id=start.job_id,
+                self.task_list.note_started(pb.TaskStatus(
+                    task_id=task_id, job_id=placed.job_id,
                     state=answer.state or tasklist.RUNNING,
                     progress=answer.progress,
-                    declared=_resources(start.work.demand)))
-                self.cell.started(start)
-                events.emit(events.TASK_STARTED, job=start.job_id,
+                    declared=_resources(placed.work.demand)))
+                self.cell.note_started(placed)
+                events.emit(events.TASK_STARTED, job=placed.job_id,
                             worker=self.machine.name, task=task_id,
                             fence=self.fence)
             else:
-                self.free(task_id)
-                self.cell.not_started(self, start, answer.reason)
-        return answered
+                self.release(task_id)
+                self.cell.note_not_started(self, placed, answer.reason)
+        return all_answered
 
-    def _start(self, start: Start) -> pb.TaskReply | None:
-        work = start.work
+    def _call_start(self, placed: PlacedTask) -> pb.TaskReply | None:
+        work = placed.work
         request = pb.StartTaskRequest(
-            task_id=start.task_id, job_id=start.job_id, work=work.name,
+            task_id=placed.task_id, job_id=placed.job_id, work=work.name,
             declared=_resources(work.demand),
             run_seconds=work.run_seconds, fence=self.fence,
-            owner=self.owner, progress=start.progress, noise=work.noise,
+            owner=self.owner, progress=placed.progress, noise=work.noise,
             lease_ms=int(self.opts.timings.task_lease * 1000),
             not_after=time.time() + options.START_WINDOW_S)
         self.renewed_at = time.monotonic()
         try:
-            return self.stub.StartTask(request, timeout=CALL_TIMEOUT)
+            return self.stub.StartTask(request, timeout=CALL_TIMEOUT_S)
         except grpc.RpcError:
             return None
 
     def stop(self) -> None:
-        """Stop following the worker."""
+        """Stop the threads of the link."""
         self.stopped.set()
         self.wake.set()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -105,7 +105,7 @@
     """
     process = test_answers.make_entry_process(kv)
     process.members.join()
-    process.cells.claimed(membership.Claim(0, 1))
+    process.cells.start_cell(membership.Claim(0, 1))
     assert deployment.wait_until(lambda: process.cells.get(0), 3)
     table = process.cells.get(0).table
     record = jobtable.new_record("j1", "owners",
@@ -115,8 +115,8 @@
                                         hops=existing[1], moved_to=1))
     arriving = dataclasses.replace(record, hops=hops)
     reply = process.peers.server.Submit(
-        pb.SubmitRequest(cell=0, job=arriving.message()), None)
-    process.cells.released(0, False)
+        pb.SubmitRequest(cell=0, job=arriving.to_message()), None)
+    process.cells.stop_cell(0, False)
     assert reply.outcome == outcome
 
 
@@ -128,9 +128,9 @@
         n for n in range(process.opts.cells)
         if quiet in [m.name for m in process.opts.cell_machines(n)])
     process.members.join()
-    process.cells.claimed(membership.Claim(cell_number, 1))
+    process.cells.start_cell(membership.Claim(cell_number, 1))
     cell = process.cells.owned[cell_number]
     for name, link in cell.links.items():
-        link.reached = name == quiet
-    assert cell.room().cpus == 0.0
-    process.cells.released(cell_number, False)
+        link.has_reported = name == quiet
+    assert cell.free_capacity().cpus == 0.0
+    process.cells.stop_cell(cell_number, False)
