--- a/tests/test_jobtable.py
+++ b/tests/test_jobtable.py
@@ -10,7 +10,7 @@
 from tests import standins
 
 
-class BlindTable(jobtable.JobTable):
+class UncheckedTable(jobtable.JobTable):
     """A faulty table that writes without comparing the revision."""
 
     def commit_once(self):
@@ -21,7 +21,7 @@
         return True
 
 
-class Owners(stateful.RuleBasedStateMachine):
+class OwnerChanges(stateful.RuleBasedStateMachine):
     """Two owners of one cell write its table while the store fails.
 
     Guards against accepted jobs or recorded outcomes that are missing after
@@ -90,10 +90,10 @@
         self.kv.close()
 
 
-class BlindOwners(Owners):
+class UncheckedOwnerChanges(OwnerChanges):
     """The same faults against the naive version."""
 
-    table_class = BlindTable
+    table_class = UncheckedTable
 
 
 SETTINGS = hypothesis.settings(
@@ -104,9 +104,10 @@
 
 
 def test_committed_changes_survive_owner_changes_and_faults():
-    stateful.run_state_machine_as_test(Owners, settings=SETTINGS)
+    stateful.run_state_machine_as_test(OwnerChanges, settings=SETTINGS)
 
 
 def test_blind_writes_lose_committed_changes():
     with pytest.raises(AssertionError, match="accepted, then lost"):
-        stateful.run_state_machine_as_test(BlindOwners, settings=SETTINGS)
+        stateful.run_state_machine_as_test(
+            UncheckedOwnerChanges, settings=SETTINGS)
