--- a/tests/test_fleet_crash_days.py
+++ b/tests/test_fleet_crash_days.py
@@ -38,13 +38,13 @@
             self.crash_workers()
             if step % 60 == 30:
                 self.machine._take_over(step % 2, "answered")
-            self.machine.calm()
+            self.machine.deliver_everything()
             if self.rng.random() < 0.9:
-                self.machine.crashes_are_noticed()
+                self.machine.crashes_are_detected()
             self.machine.pass_time(self.rng.choice((0.05, 0.1, 0.2)))
             self.finish_some_runs()
-            self.machine.only_tasks_that_crash_workers_are_given_up()
-            self.machine.room_is_accounted_for()
+            self.machine.only_crashing_tasks_are_given_up()
+            self.machine.used_cpu_matches_reservations()
 
     def submit_jobs(self, step: int) -> None:
         """Submit jobs, some of which crash their workers."""
@@ -55,7 +55,7 @@
         if step % 10 == 5 and step < 10 * CRASHING_JOBS:
             self.machine._submit(fleetfakes.job(
                 f"j{number + 1}", self.rng.choice(JOB_SHAPES)[0],
-                spec=test_fleet_machine.CRASHES))
+                spec=test_fleet_machine.CRASHING_SPEC))
 
     def run_count(self) -> int:
         """Return the number of current runs."""
@@ -88,7 +88,7 @@
                         self.rng.random() < 0.2):
                     worker.end(key, "done")
                     self.machine.done.add(key[0])
-                    self.machine.listed_done[key[0]] = worker.entry.worker_id
+                    self.machine.reported_done[key[0]] = worker.entry.worker_id
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -98,7 +98,7 @@
     try:
         simulation.run()
         states = [state for state in simulation.machine.fleet.jobs.values()
-                  if state.job.spec == test_fleet_machine.CRASHES]
+                  if state.job.spec == test_fleet_machine.CRASHING_SPEC]
         assert states and all(state.state == messages.JOB_FAILED
                               for state in states)
     finally:
