--- a/sycamorefield/platform/bootsettings.py
+++ b/sycamorefield/platform/bootsettings.py
@@ -4,11 +4,11 @@
 
 import pydantic
 
-ORDERS_BY_CALL = "rpc"
+ORDERS_BY_RPC = "rpc"
 PATH_VARIABLE = "SYCAMOREFIELD_BOOT"
 # The port of `metrics` in deploy/system.toml, which gives both: metrics are
 # fetched at that port, while port_range is drawn anew for each day.
-METRICS_VARIABLE = "SYCAMOREFIELD_METRICS_PORT"
+METRICS_PORT_VARIABLE = "SYCAMOREFIELD_METRICS_PORT"
 
 
 class ListenModel(pydantic.BaseModel):
@@ -53,7 +53,7 @@
     platform: StoreModel
     limits: LimitsModel = LimitsModel()
     bounds: BoundsModel = BoundsModel()
-    orders: str = ORDERS_BY_CALL
+    orders: str = ORDERS_BY_RPC
     advice: str | None = None
 
     def metrics_address(self) -> str:
@@ -62,10 +62,10 @@
         A day's ports may happen to include it; callers go first then, and
         metrics move to the last port that is free for the process.
         """
-        port = os.environ.get(METRICS_VARIABLE, "")
-        taken = {address.rpartition(":")[2]
-                 for address in (self.listen.front, self.listen.ready)}
-        if not port.isdecimal() or port in taken:
+        port = os.environ.get(METRICS_PORT_VARIABLE, "")
+        used_ports = {address.rpartition(":")[2]
+                      for address in (self.listen.front, self.listen.ready)}
+        if not port.isdecimal() or port in used_ports:
             port = str(self.port_range[1])
         return f"{self.ip}:{port}"
 
--- a/sycamorefield/platform/configuration.py
+++ b/sycamorefield/platform/configuration.py
@@ -53,16 +53,18 @@
     Queues are ordered so that the first match is the longest prefix.
     """
     model = ConfigModel.model_validate(json.loads(value))
-    queues = [messages.Queue(r.name, r.host, r.prefix, r.service, r.priority,
-                             r.max_attempts, _policy(r.advice), r.stretch,
-                             r.slo_ms)
-              for r in model.routes]
+    queues = [messages.Queue(route.name, route.host, route.prefix,
+                             route.service, route.priority,
+                             route.max_attempts,
+                             _advice_policy(route.advice), route.stretch,
+                             route.slo_ms)
+              for route in model.routes]
     queues.sort(key=lambda queue: -len(queue.prefix))
     return messages.Configuration(model.version, tuple(queues),
                                   model.limits.max_body_bytes)
 
 
-def _policy(advice: typing.Any) -> messages.AdvicePolicy | None:
+def _advice_policy(advice: typing.Any) -> messages.AdvicePolicy | None:
     """Return a queue's advice policy, or None if it has none.
 
     One that cannot be read must not hide the rest of the configuration; the
--- a/sycamorefield/platform/daemon.py
+++ b/sycamorefield/platform/daemon.py
@@ -28,19 +28,19 @@
 
 # Names the file with the policy options; without it defaults are used.
 POLICY_VARIABLE = "SYCAMOREFIELD_POLICY"
-EXIT_SETTINGS = 2
+EXIT_INVALID_POLICY = 2
 
-SOCKET_QUEUE = 256
+LISTEN_BACKLOG = 256
 FRONT_THREADS = 16
-SIDE_THREADS = 2
+ADMIN_THREADS = 2
 # The balancer sends no new connections after two missed checks, 1 s apart.
 # What was sent until then is answered before the listener closes.
-SERVE_ON_S = 3.2
+DRAIN_S = 3.2
 # What a planned stop leaves of the time until the process would be killed, for
 # the last log lines and a VM that is slow.
 STOP_MARGIN_S = 0.8
 # The watch is answered each second; a store not heard for this long is away.
-STORE_SILENCE_S = 1.6
+STORE_UNRESPONSIVE_S = 1.6
 
 
 class Daemon:
@@ -54,7 +54,7 @@
         self.watcher = controlwatcher.ControlWatcher(
             self.store, configuration.KEY, configuration.decode)
         self.job_requests = jobrequests_mod.JobRequestHandler(
-            self.store, self._store_silent)
+            self.store, self._store_unresponsive)
         self.advice = (advice_mod.PlatformAdvice(settings.advice)
                        if settings.advice else None)
         self.ownership = ownership_mod.Ownership(
@@ -62,10 +62,10 @@
             ownership_mod.claim_delay_s(
                 settings.limits.cpu_share * settings.limits.cores,
                 policy.weak_vms_wait))
-        self.stop_asked = threading.Event()
-        self.front = front_mod.Front(
+        self.stop_requested = threading.Event()
+        self.front_app = front_mod.FrontApp(
             self.job_requests, self.watcher.configuration, self._ready,
-            self.stop_asked.is_set, self._metrics)
+            self.stop_requested.is_set, self._metrics_text)
 
     def _make_owner(self, fence: int) -> owner_mod.Owner:
         return owner_mod.Owner(
@@ -81,13 +81,14 @@
         ready, and the balancer uses them all.
         """
         return (self.watcher.configuration_known
-                and not self.stop_asked.is_set()
-                and not self._store_silent())
+                and not self.stop_requested.is_set()
+                and not self._store_unresponsive())
 
-    def _store_silent(self) -> bool:
-        return clock.now() - self.watcher.last_answer_at >= STORE_SILENCE_S
+    def _store_unresponsive(self) -> bool:
+        return (clock.now() - self.watcher.last_answer_at
+                >= STORE_UNRESPONSIVE_S)
 
-    def _metrics(self) -> str:
+    def _metrics_text(self) -> str:
         owner = self.ownership.owner
         gauges = {
             "config_version": float(self.watcher.latest_configuration.version),
@@ -100,19 +101,19 @@
 
     def run(self) -> None:
         """Serve until SIGTERM, then stop without cutting a request."""
-        signal.signal(signal.SIGTERM, lambda *_: self.stop_asked.set())
+        signal.signal(signal.SIGTERM, lambda *_: self.stop_requested.set())
         signal.signal(signal.SIGHUP, lambda *_: self.reload())
-        servers = self._listen()
+        servers = self._start_servers()
         for target in (self.watcher.run, self.ownership.run):
             threading.Thread(target=target, daemon=True).start()
         events.emit(events.PROCESS_STARTED, address=self.settings.ip,
                     metrics=self.settings.metrics_address(),
                     port_range=self.settings.port_range)
-        if self.settings.orders != bootsettings.ORDERS_BY_CALL:
+        if self.settings.orders != bootsettings.ORDERS_BY_RPC:
             # Orders would have to travel with workers' heartbeats.
             events.emit(events.SETTING_IGNORED, setting="orders",
                         value=self.settings.orders)
-        self.stop_asked.wait()
+        self.stop_requested.wait()
         self._stop(servers)
 
     def _stop(self, servers: list[cherrypy._cpserver.Server]) -> None:
@@ -123,14 +124,14 @@
         outlasts the grace time: the process would be killed, and callers
         would lose requests that it had read.
         """
-        until = clock.now() + self.settings.bounds.grace_s - STOP_MARGIN_S
+        deadline = clock.now() + self.settings.bounds.grace_s - STOP_MARGIN_S
         events.emit(events.PROCESS_STOPPING)
-        handover = _background(self.ownership.stop)
-        time.sleep(SERVE_ON_S)
-        closing = [_background(server.stop) for server in servers]
-        late = [thread for thread in [handover, *closing]
-                if not _ended(thread, until)]
-        events.emit(events.PROCESS_STOPPED, unfinished=len(late))
+        handover = _start_thread(self.ownership.stop)
+        time.sleep(DRAIN_S)
+        server_stops = [_start_thread(server.stop) for server in servers]
+        unfinished = [thread for thread in [handover, *server_stops]
+                      if not _join_until(thread, deadline)]
+        events.emit(events.PROCESS_STOPPED, unfinished=len(unfinished))
 
     def reload(self) -> None:
         """Note changed settings; addresses in use stay until a restart."""
@@ -146,40 +147,40 @@
         if self.ownership.owner is None:
             self.settings = settings
 
-    def _listen(self) -> list[cherrypy._cpserver.Server]:
+    def _start_servers(self) -> list[cherrypy._cpserver.Server]:
         cherrypy.config.update({"environment": "embedded",
                                 "log.screen": False})
         cherrypy.server.unsubscribe()
-        cherrypy.tree.graft(self.front, "/")
+        cherrypy.tree.graft(self.front_app, "/")
         listen = self.settings.listen
         servers = []
         for address, threads in ((listen.front, FRONT_THREADS),
-                                 (listen.ready, SIDE_THREADS),
+                                 (listen.ready, ADMIN_THREADS),
                                  (self.settings.metrics_address(),
-                                  SIDE_THREADS)):
-            servers.append(_serve(address, threads))
+                                  ADMIN_THREADS)):
+            servers.append(_start_server(address, threads))
         return servers
 
 
-def _background(target: typing.Callable[[], object]) -> threading.Thread:
+def _start_thread(target: typing.Callable[[], object]) -> threading.Thread:
     thread = threading.Thread(target=target, daemon=True)
     thread.start()
     return thread
 
 
-def _ended(thread: threading.Thread, until: float) -> bool:
+def _join_until(thread: threading.Thread, deadline: float) -> bool:
     """Wait until a moment of clock.now(); tell whether a thread ended."""
-    thread.join(max(0.0, until - clock.now()))
+    thread.join(max(0.0, deadline - clock.now()))
     return not thread.is_alive()
 
 
-def _serve(address: str, threads: int) -> cherrypy._cpserver.Server:
+def _start_server(address: str, threads: int) -> cherrypy._cpserver.Server:
     host, _, port = address.rpartition(":")
     server = cherrypy._cpserver.Server()
     server.socket_host = host
     server.socket_port = int(port)
     server.thread_pool = threads
-    server.socket_queue_size = SOCKET_QUEUE
+    server.socket_queue_size = LISTEN_BACKLOG
     server.shutdown_timeout = 1
     server.start()
     return server
@@ -194,7 +195,7 @@
         # Events are written by a thread that ends with the process.
         for finding in loaded.failure():
             print(f"policy options rejected: {finding}", file=sys.stderr)
-        sys.exit(EXIT_SETTINGS)
+        sys.exit(EXIT_INVALID_POLICY)
     Daemon(settings, loaded.unwrap()).run()
     log.finish()
     # Threads that wait for an answer would keep the process until it comes.
--- a/sycamorefield/platform/front.py
+++ b/sycamorefield/platform/front.py
@@ -13,12 +13,12 @@
 from sycamorefield.fleet import messages
 from sycamorefield.platform import jobbody
 
-JOB_ID = re.compile("[0-9a-fA-F]{16}")
+JOB_ID_PATTERN = re.compile("[0-9a-fA-F]{16}")
 DEADLINE_HEADER = "HTTP_SYCAMOREFIELD_DEADLINE"
-REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found",
-           405: "Method Not Allowed", 410: "Gone", 413: "Too Large",
-           500: "Internal Server Error", 503: "Service Unavailable",
-           504: "Gateway Timeout"}
+REASON_PHRASES = {200: "OK", 400: "Bad Request", 404: "Not Found",
+                  405: "Method Not Allowed", 410: "Gone", 413: "Too Large",
+                  500: "Internal Server Error", 503: "Service Unavailable",
+                  504: "Gateway Timeout"}
 
 Environ = dict[str, typing.Any]
 StartResponse = typing.Callable[[str, list[tuple[str, str]]], typing.Any]
@@ -32,7 +32,7 @@
     retry_after_s: int = 0
 
 
-class Front:
+class FrontApp:
     """Serve the WSGI application behind front, ready and metrics."""
 
     def __init__(self, job_requests: jobrequests_mod.JobRequestHandler,
@@ -55,7 +55,7 @@
                                       ("Content-Length", str(len(text)))])
             return [text]
         try:
-            reply = self._answer(path, environ)
+            reply = self._handle(path, environ)
         except Exception as exc:
             events.emit(events.THREAD_FAILED, path=path, reason=repr(exc),
                         where=events.place(exc))
@@ -73,10 +73,11 @@
             # A caller that sent on a connection closed just then would lose
             # its request; closing after an answer leaves none to lose.
             headers.append(("Connection", "close"))
-        start_response(f"{reply.status} {REASONS[reply.status]}", headers)
+        start_response(
+            f"{reply.status} {REASON_PHRASES[reply.status]}", headers)
         return [data]
 
-    def _answer(self, path: str, environ: Environ) -> Reply:
+    def _handle(self, path: str, environ: Environ) -> Reply:
         body = _read_body(environ)
         if path == "/-/ready":
             return Reply(200 if self.ready() else 503)
@@ -89,33 +90,34 @@
         queue = config.match(host, path)
         if queue is None:
             return Reply(404, {"error": "no such queue"})
-        name = path[len(queue.prefix):]
+        job_id = path[len(queue.prefix):]
         try:
-            return self._route(queue, name, body, environ)
+            return self._route(queue, job_id, body, environ)
         except interfaces.CallFailed as exc:
             return Reply(503, {"error": str(exc)}, 1)
 
-    def _route(self, queue: messages.Queue, name: str, body: bytes,
+    def _route(self, queue: messages.Queue, job_id: str, body: bytes,
                environ: Environ) -> Reply:
         method = environ["REQUEST_METHOD"]
-        if not name:
+        if not job_id:
             if method != "GET":
                 return Reply(405, {"error": "method not allowed"})
             return Reply(200, {
                 "waiting": self.job_requests.waiting_count(queue.name)})
-        if not JOB_ID.fullmatch(name):
+        if not JOB_ID_PATTERN.fullmatch(job_id):
             status = 400 if method == "POST" else 410
             return Reply(status, {"error": "not a job ID"})
         if method == "POST":
-            return self._submit(queue, name, body, _deadline(environ))
+            return self._submit(queue, job_id, body, _deadline(environ))
         if method == "DELETE":
-            return _reply(self.job_requests.cancel(name, _deadline(environ)))
+            return _reply_for(
+                self.job_requests.cancel(job_id, _deadline(environ)))
         if method == "GET":
-            shown = self.job_requests.job_status(name)
-            if shown is None:
+            job_state = self.job_requests.job_status(job_id)
+            if job_state is None:
                 return Reply(410, {"error": "no such job"})
-            reason = {"reason": shown.reason} if shown.reason else {}
-            return Reply(200, {"state": shown.state, **reason})
+            reason = {"reason": job_state.reason} if job_state.reason else {}
+            return Reply(200, {"state": job_state.state, **reason})
         return Reply(405, {"error": "method not allowed"})
 
     def _submit(self, queue: messages.Queue, job_id: str, body: bytes,
@@ -123,13 +125,13 @@
         try:
             job = jobbody.decode(job_id, queue, clock.wall_ms(), body)
         except pydantic.ValidationError as exc:
-            findings = [{"place": ".".join(str(p) for p in e["loc"]),
-                         "message": e["msg"]} for e in exc.errors()]
+            findings = [{"place": ".".join(str(part) for part in error["loc"]),
+                         "message": error["msg"]} for error in exc.errors()]
             return Reply(400, {"error": "bad job", "findings": findings})
-        return _reply(self.job_requests.submit(job, deadline))
+        return _reply_for(self.job_requests.submit(job, deadline))
 
 
-def _reply(outcome: jobrequests_mod.Outcome) -> Reply:
+def _reply_for(outcome: jobrequests_mod.Outcome) -> Reply:
     if isinstance(outcome, jobrequests_mod.Accepted):
         return Reply(200)
     if isinstance(outcome, jobrequests_mod.UnknownJob):
@@ -150,11 +152,11 @@
 
 def _deadline(environ: Environ) -> float:
     """Return until when the caller waits, on clock.now()."""
-    given = environ.get(DEADLINE_HEADER, "")
+    header = environ.get(DEADLINE_HEADER, "")
     try:
-        seconds = float(given) / 1000.0
+        timeout_s = float(header) / 1000.0
     except ValueError:
-        seconds = jobrequests_mod.DEFAULT_DEADLINE_S
-    if not 0 < seconds < 3600:
-        seconds = jobrequests_mod.DEFAULT_DEADLINE_S
-    return clock.now() + seconds
+        timeout_s = jobrequests_mod.DEFAULT_DEADLINE_S
+    if not 0 < timeout_s < 3600:
+        timeout_s = jobrequests_mod.DEFAULT_DEADLINE_S
+    return clock.now() + timeout_s
--- a/sycamorefield/platform/jobbody.py
+++ b/sycamorefield/platform/jobbody.py
@@ -40,7 +40,7 @@
     interval_ms: float = 0
 
     @pydantic.model_validator(mode="after")
-    def check_order(self) -> "JobModel":
+    def check_spec_and_steps(self) -> "JobModel":
         """Reject a spec too long and steps that wait for later ones."""
         if len(self.spec.encode()) > MAX_SPEC_BYTES:
             raise ValueError("spec is longer than 4000 bytes")
--- a/sycamorefield/platform/calls.py
+++ b/sycamorefield/platform/jsonclient.py
@@ -8,13 +8,13 @@
 from sycamorefield.fleet import clock
 from sycamorefield.fleet import interfaces
 from sycamorefield import metrics
-from sycamorefield.platform import exchange
+from sycamorefield.platform import connections
 
 Body = dict[str, typing.Any]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answer:
+class JsonResponse:
     """Hold the status and the bytes of an answer."""
 
     status: int
@@ -33,32 +33,33 @@
         return decoded if isinstance(decoded, dict) else {}
 
 
-class Caller:
+class JsonClient:
     """Call one server over a few connections that stay open."""
 
-    def __init__(self, address: str, connections: int,
+    def __init__(self, address: str, max_idle_connections: int,
                  headers: dict[str, str] | None = None) -> None:
         host, _, port = address.rpartition(":")
         self.address = address
-        self.pool = exchange.Pool(host, int(port), connections)
-        lines = [f"Host: {address}", "Content-Type: application/json"]
-        lines += [f"{name}: {value}"
-                  for name, value in (headers or {}).items()]
-        self.headers = "\r\n".join(lines)
+        self.pool = connections.ConnectionPool(
+            host, int(port), max_idle_connections)
+        header_lines = [f"Host: {address}", "Content-Type: application/json"]
+        header_lines += [f"{name}: {value}"
+                         for name, value in (headers or {}).items()]
+        self.headers = "\r\n".join(header_lines)
 
     def call(self, method: str, path: str, timeout_s: float,
-             body: Body | None = None) -> Answer:
+             body: Body | None = None) -> JsonResponse:
         """Return the answer; raises CallRefused or CallFailed."""
         data = b"" if body is None else msgspec.json.encode(body)
         head = (f"{method} {path} HTTP/1.1\r\n{self.headers}\r\n"
                 f"Content-Length: {len(data)}\r\n\r\n")
-        began = clock.now()
-        response = self.pool.exchange(head.encode() + data, timeout_s)
+        started_at = clock.now()
+        response = self.pool.send(head.encode() + data, timeout_s)
         if "watch" not in path and path.startswith("/-/"):
             # A waiting watch measures the wait, not the call.
             metrics.CALLS.record(path.partition("?")[0].split("/")[2],
-                                 clock.now() - began)
-        return Answer(response.status, response.body)
+                                 clock.now() - started_at)
+        return JsonResponse(response.status, response.body)
 
     def close(self) -> None:
         """Close the connections that are idle."""
--- a/sycamorefield/platform/store.py
+++ b/sycamorefield/platform/store.py
@@ -6,7 +6,7 @@
 
 from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
-from sycamorefield.platform import calls
+from sycamorefield.platform import jsonclient
 
 # Slow answers of the store take up to about 0.3 s (72 times 4 ms).
 CALL_TIMEOUT_S = 1.0
@@ -14,7 +14,7 @@
 # A watch that hears nothing answers when its wait ends; what comes later
 # than this behind it means that the connection went silent.
 WATCH_SLACK_S = 0.5
-CONNECTIONS = 12
+MAX_IDLE_CONNECTIONS = 12
 REFUSED_STATUSES = (429, 503)
 
 
@@ -22,23 +22,23 @@
     """Call the store over HTTP."""
 
     def __init__(self, address: str) -> None:
-        self.caller = calls.Caller(address, CONNECTIONS)
+        self.client = jsonclient.JsonClient(address, MAX_IDLE_CONNECTIONS)
 
     def _call(self, method: str, path: str,
               body: dict[str, typing.Any] | None = None,
-              timeout_s: float = CALL_TIMEOUT_S) -> calls.Answer:
-        answer = self.caller.call(method, path, timeout_s, body)
-        if answer.status in REFUSED_STATUSES:
-            raise interfaces.CallRefused(f"store answers {answer.status}")
-        return answer
+              timeout_s: float = CALL_TIMEOUT_S) -> jsonclient.JsonResponse:
+        response = self.client.call(method, path, timeout_s, body)
+        if response.status in REFUSED_STATUSES:
+            raise interfaces.CallRefused(f"store answers {response.status}")
+        return response
 
     def get(self, key: str) -> messages.Item | None:
         """Return the item under a key."""
-        answer = self._call("GET", "/-/kv-key?" + _query(key=key))
-        if answer.status == 404:
+        response = self._call("GET", "/-/kv-key?" + _query_string(key=key))
+        if response.status == 404:
             return None
-        _require(answer)
-        return _item(answer.body)
+        _require_ok(response)
+        return _decode_item(response.body)
 
     def listing(self, prefix: str) -> messages.Listing:
         """Return all items under a prefix, page after page."""
@@ -46,81 +46,81 @@
         revision = 0
         after = ""
         while True:
-            query = _query(prefix=prefix, **({"after": after} if after
-                                             else {}))
-            answer = self._call("GET", "/-/kv-range?" + query)
-            _require(answer)
-            revision = revision or int(answer.body.get("current_rev", 0))
-            page = answer.body.get("items") or []
-            items += [_item(row) for row in page]
-            if not answer.body.get("has_more") or not page:
+            query = _query_string(prefix=prefix, **({"after": after} if after
+                                                    else {}))
+            response = self._call("GET", "/-/kv-range?" + query)
+            _require_ok(response)
+            revision = revision or int(response.body.get("current_rev", 0))
+            page = response.body.get("items") or []
+            items += [_decode_item(row) for row in page]
+            if not response.body.get("has_more") or not page:
                 return messages.Listing(tuple(items), revision)
             after = page[-1]["key"]
 
     def watch(self, prefix: str, after: int,
               wait_ms: int) -> messages.Changes:
         """Wait for changes under a prefix after a revision."""
-        query = _query(prefix=prefix, after=after, wait_ms=wait_ms)
-        answer = self._call("GET", "/-/kv-watch?" + query,
-                            timeout_s=wait_ms / 1000.0 + WATCH_SLACK_S)
-        if answer.status == 410:
+        query = _query_string(prefix=prefix, after=after, wait_ms=wait_ms)
+        response = self._call("GET", "/-/kv-watch?" + query,
+                              timeout_s=wait_ms / 1000.0 + WATCH_SLACK_S)
+        if response.status == 410:
             raise interfaces.HistoryCompacted(str(after))
-        _require(answer)
-        rows = answer.body.get("events") or []
+        _require_ok(response)
+        rows = response.body.get("events") or []
         return messages.Changes(
-            tuple(_change(row) for row in rows),
-            int(answer.body.get("current_rev", after)))
+            tuple(_decode_change(row) for row in rows),
+            int(response.body.get("current_rev", after)))
 
     def commit(self, transaction: messages.Transaction) -> int:
         """Commit a transaction and return its revision."""
-        body = {"precondition": [{"key": e.key, "rev": e.revision}
-                                 for e in transaction.expects],
-                "puts": [_put(p) for p in transaction.puts],
+        body = {"precondition": [{"key": expect.key, "rev": expect.revision}
+                                 for expect in transaction.expects],
+                "puts": [_encode_put(put) for put in transaction.puts],
                 "remove": list(transaction.removes)}
-        answer = self._call("POST", "/-/kv-txn", body, COMMIT_TIMEOUT_S)
-        if answer.status == 412:
+        response = self._call("POST", "/-/kv-txn", body, COMMIT_TIMEOUT_S)
+        if response.status == 412:
             raise interfaces.Conflict(tuple(
-                _item(row) for row in answer.body.get("items") or []
+                _decode_item(row) for row in response.body.get("items") or []
                 if row.get("rev")))
-        if answer.status == 404:
+        if response.status == 404:
             raise interfaces.LeaseEnded("lease of a put has ended")
-        _require(answer)
-        return int(answer.body["rev"])
+        _require_ok(response)
+        return int(response.body["rev"])
 
     def grant(self, ttl_ms: int) -> int:
         """Return a new lease."""
-        answer = self._call("POST", "/-/kv-lease", {"ttl_ms": ttl_ms})
-        _require(answer)
-        return int(answer.body["lease"])
+        response = self._call("POST", "/-/kv-lease", {"ttl_ms": ttl_ms})
+        _require_ok(response)
+        return int(response.body["lease"])
 
     def renew(self, lease: int) -> None:
         """Renew a lease."""
-        answer = self._call("POST", f"/-/kv-keep/{lease}", {})
-        if answer.status == 404:
+        response = self._call("POST", f"/-/kv-keep/{lease}", {})
+        if response.status == 404:
             raise interfaces.LeaseEnded(str(lease))
-        _require(answer)
+        _require_ok(response)
 
 
-def _query(**fields: object) -> str:
+def _query_string(**fields: object) -> str:
     return urllib.parse.urlencode(fields)
 
 
-def _require(answer: calls.Answer) -> None:
-    if answer.status != 200:
-        raise interfaces.CallFailed(f"store answers {answer.status}")
+def _require_ok(response: jsonclient.JsonResponse) -> None:
+    if response.status != 200:
+        raise interfaces.CallFailed(f"store answers {response.status}")
 
 
-def _item(row: dict[str, typing.Any]) -> messages.Item:
+def _decode_item(row: dict[str, typing.Any]) -> messages.Item:
     return messages.Item(row["key"], base64.b64decode(row.get("value", "")),
                          int(row["rev"]), int(row.get("created", 0)))
 
 
-def _change(row: dict[str, typing.Any]) -> messages.Change:
-    item = None if row.get("deleted") else _item(row)
+def _decode_change(row: dict[str, typing.Any]) -> messages.Change:
+    item = None if row.get("deleted") else _decode_item(row)
     return messages.Change(row["key"], int(row["rev"]), item)
 
 
-def _put(put: messages.Put) -> dict[str, typing.Any]:
+def _encode_put(put: messages.Put) -> dict[str, typing.Any]:
     row: dict[str, typing.Any] = {
         "key": put.key, "value": base64.b64encode(put.value).decode()}
     if put.lease:
--- a/sycamorefield/platform/workers.py
+++ b/sycamorefield/platform/workers.py
@@ -9,15 +9,15 @@
 from sycamorefield import events
 from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
-from sycamorefield.platform import calls
+from sycamorefield.platform import jsonclient
 
 ENTRY_PREFIX = "servers/"
-STATES = ("ready", "draining")
+LISTED_STATES = ("ready", "draining")
 # An order takes about 4 ms; a worker that has not answered by then has
 # lost it, or will carry it out seconds later.
 ORDER_TIMEOUT_S = 0.6
 REPORT_SLACK_S = 0.8
-CONNECTIONS = 2
+MAX_IDLE_CONNECTIONS = 2
 
 Body = dict[str, typing.Any]
 Decoded = typing.TypeVar("Decoded")
@@ -27,25 +27,25 @@
     """Give orders to one incarnation of a worker over HTTP."""
 
     def __init__(self, entry: messages.WorkerEntry) -> None:
-        self.caller = calls.Caller(
-            entry.address, CONNECTIONS,
+        self.client = jsonclient.JsonClient(
+            entry.address, MAX_IDLE_CONNECTIONS,
             {"Sycamorefield-Expect-Instance": entry.worker_id})
 
     def _post(self, path: str, body: dict[str, typing.Any],
-              timeout_s: float = ORDER_TIMEOUT_S) -> calls.Answer:
-        answer = self.caller.call("POST", path, timeout_s, body)
-        if answer.status == 200:
-            return answer
-        if answer.status == 421:
-            raise interfaces.IncarnationMismatch(self.caller.address)
-        if answer.status in (429, 503):
+              timeout_s: float = ORDER_TIMEOUT_S) -> jsonclient.JsonResponse:
+        response = self.client.call("POST", path, timeout_s, body)
+        if response.status == 200:
+            return response
+        if response.status == 421:
+            raise interfaces.IncarnationMismatch(self.client.address)
+        if response.status in (429, 503):
             raise interfaces.OrderRejected(interfaces.UNHEALTHY)
-        if answer.status == 409:
+        if response.status == 409:
             raise interfaces.OrderRejected(
-                str(answer.body.get("reason", "")))
-        if answer.status == 400:
+                str(response.body.get("reason", "")))
+        if response.status == 400:
             raise interfaces.OrderRejected(interfaces.MALFORMED)
-        raise interfaces.CallFailed(f"worker answers {answer.status}")
+        raise interfaces.CallFailed(f"worker answers {response.status}")
 
     def renew(self, fence: int, recorded_upto: int, lease_end_ms: float | None,
               wait_ms: int) -> messages.WorkerReport:
@@ -56,9 +56,9 @@
             body["until_ms"] = int(lease_end_ms)
         if wait_ms:
             body["wait_ms"] = wait_ms
-        answer = self._post("/-/hold", body,
-                            wait_ms / 1000.0 + REPORT_SLACK_S)
-        return read_report(answer.data)
+        response = self._post("/-/hold", body,
+                              wait_ms / 1000.0 + REPORT_SLACK_S)
+        return decode_report(response.data)
 
     def start(self, order: messages.StartOrder, fence: int,
               lease_end_ms: float) -> float:
@@ -70,22 +70,23 @@
             body["saved"] = order.saved
         if order.ticket:
             body["ticket"] = order.ticket
-        return _readable(_clock_ms, self._post("/-/run-start", body).body)
+        return _decode_or_fail(_clock_ms,
+                               self._post("/-/run-start", body).body)
 
     def stop(self, order: messages.StopOrder, fence: int) -> float:
         """Stop a run."""
         body = {"task": str(order.task), "run": order.run, "fence": fence}
-        return _readable(_clock_ms, self._post("/-/run-stop", body).body)
+        return _decode_or_fail(_clock_ms, self._post("/-/run-stop", body).body)
 
     def pace(self, order: messages.PaceOrder, fence: int) -> float:
         """Set the share at which a run works."""
         body = {"task": str(order.task), "run": order.run,
                 "percent": order.percent, "fence": fence}
-        return _readable(_clock_ms, self._post("/-/pace", body).body)
+        return _decode_or_fail(_clock_ms, self._post("/-/pace", body).body)
 
 
-def _readable(decode: typing.Callable[[Body], Decoded],
-              body: Body) -> Decoded:
+def _decode_or_fail(decode: typing.Callable[[Body], Decoded],
+                    body: Body) -> Decoded:
     """Return a decoded answer; one that can't be read tells no outcome.
 
     Any other error would end the thread that speaks to the worker: its
@@ -136,37 +137,38 @@
 
 REPORT_DECODER = msgspec.json.Decoder(ReportBody)
 # Names of tasks come again in each report while their runs last.
-NAMES_REMEMBERED = 16384
+TASK_ID_CACHE_SIZE = 16384
 
 
-def read_report(data: bytes) -> messages.WorkerReport:
+def decode_report(data: bytes) -> messages.WorkerReport:
     """Return the report that an answer holds; raises CallFailed."""
     try:
         body = REPORT_DECODER.decode(data)
         return messages.WorkerReport(
             body.clock_ms,
-            tuple(_running(row) for row in body.running or ()),
-            tuple(_ended(row) for row in body.ended or ()))
+            tuple(_running_task(row) for row in body.running or ()),
+            tuple(_ended_task(row) for row in body.ended or ()))
     except (msgspec.MsgspecError, ValueError) as exc:
         raise interfaces.CallFailed(
             f"unreadable answer: {exc!r}") from exc
 
 
-@functools.lru_cache(maxsize=NAMES_REMEMBERED)
-def _task(name: str) -> messages.TaskId:
+@functools.lru_cache(maxsize=TASK_ID_CACHE_SIZE)
+def _parse_task_id(name: str) -> messages.TaskId:
     job_id, occurrence, step, index = name.rsplit(".", 3)
     return messages.TaskId(job_id, int(occurrence), int(step), int(index))
 
 
-def _running(row: RunningRow) -> messages.RunningTask:
+def _running_task(row: RunningRow) -> messages.RunningTask:
     return messages.RunningTask(
-        _task(row.task), row.run, row.saved or "", int(row.percent or 0),
+        _parse_task_id(row.task), row.run, row.saved or "",
+        int(row.percent or 0),
         row.figure or 0.0)
 
 
-def _ended(row: EndedRow) -> messages.EndedTask:
-    return messages.EndedTask(row.number, _task(row.task), row.run, row.how,
-                              row.saved or "")
+def _ended_task(row: EndedRow) -> messages.EndedTask:
+    return messages.EndedTask(row.number, _parse_task_id(row.task), row.run,
+                              row.how, row.saved or "")
 
 
 class PlatformWorkerList(interfaces.WorkerList):
@@ -178,11 +180,11 @@
     def workers(self) -> tuple[messages.WorkerEntry, ...]:
         """Return the entries that can be read; others are logged."""
         listing = self.store.listing(ENTRY_PREFIX)
-        entries = (read_entry(item) for item in listing.items)
+        entries = (decode_entry(item) for item in listing.items)
         return tuple(entry for entry in entries if entry is not None)
 
 
-def read_entry(item: messages.Item) -> messages.WorkerEntry | None:
+def decode_entry(item: messages.Item) -> messages.WorkerEntry | None:
     """Return the worker an entry describes, or None with a log line.
 
     Other writers leave entries that lack fields or cannot be read; such an
@@ -190,38 +192,39 @@
     """
     try:
         row = json.loads(item.value)
-        if row["state"] not in STATES:
+        if row["state"] not in LISTED_STATES:
             raise ValueError(f"unknown state {row['state']!r}")
-        room = row["capacity"]
+        capacity = row["capacity"]
         remaining = row.get("remaining_ms")
         return messages.WorkerEntry(
-            item.key[len(ENTRY_PREFIX):], _text(row["service"]),
-            _address(row["addr"]), _text(row.get("zone", "")),
+            item.key[len(ENTRY_PREFIX):], _require_string(row["service"]),
+            _require_address(row["addr"]),
+            _require_string(row.get("zone", "")),
             row["state"] == "draining",
-            messages.Resources(_number(room.get("cpu", 0)),
-                               _number(room.get("mem_mb", 0)),
-                               _number(room.get("gpu", 0))),
-            tuple(_text(label) for label in row.get("labels") or ()),
+            messages.Resources(_require_number(capacity.get("cpu", 0)),
+                               _require_number(capacity.get("mem_mb", 0)),
+                               _require_number(capacity.get("gpu", 0))),
+            tuple(_require_string(label) for label in row.get("labels") or ()),
             None if remaining is None else float(remaining))
     except (ValueError, KeyError, TypeError, AttributeError) as exc:
         events.emit(events.ENTRY_UNREADABLE, key=item.key, reason=repr(exc))
         return None
 
 
-def _text(value: object) -> str:
+def _require_string(value: object) -> str:
     if not isinstance(value, str):
         raise TypeError(f"not a string: {value!r}")
     return value
 
 
-def _number(value: object) -> int:
+def _require_number(value: object) -> int:
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         raise TypeError(f"not a number: {value!r}")
     return int(value)
 
 
-def _address(value: object) -> str:
-    host, _, port = _text(value).rpartition(":")
+def _require_address(value: object) -> str:
+    host, _, port = _require_string(value).rpartition(":")
     if not host or not port.isdigit():
         raise ValueError(f"not an address: {value!r}")
-    return _text(value)
+    return _require_string(value)
--- a/sycamorefield/policysettings.py
+++ b/sycamorefield/policysettings.py
@@ -15,7 +15,7 @@
 from sycamorefield.fleet import policy as policy_mod
 
 
-def _model() -> type[pydantic.BaseModel]:
+def _make_policy_model() -> type[pydantic.BaseModel]:
     """Return a model with a strict switch for each field of the Policy."""
     fields: dict[str, typing.Any] = {
         field.name: (bool, field.default)
@@ -24,11 +24,11 @@
     return pydantic.create_model("PolicyModel", __config__=config, **fields)
 
 
-PolicyModel = _model()
+PolicyModel = _make_policy_model()
 
 # Options that do nothing unless another one is on, as (option, needs).
-NEEDS = (("spread_lasting_jobs", "keep_room_for_short_work"),
-         ("limit_tails", "learn_weights"))
+REQUIRED_OPTIONS = (("spread_lasting_jobs", "keep_room_for_short_work"),
+                    ("limit_tails", "learn_weights"))
 
 
 def load(path: str | None) -> result.Result[policy_mod.Policy,
@@ -37,27 +37,28 @@
     if not path:
         return result.Success(policy_mod.Policy())
     try:
-        with open(path, encoding="utf-8") as handle:
-            return parse(handle.read(), path)
+        with open(path, encoding="utf-8") as file:
+            return parse(file.read(), path)
     except (OSError, UnicodeDecodeError) as exc:
         return result.Failure([errors.Finding(path, str(exc))])
 
 
-def parse(text: str, place: str) -> result.Result[policy_mod.Policy,
-                                                  list[errors.Finding]]:
+def parse(text: str, source: str) -> result.Result[policy_mod.Policy,
+                                                   list[errors.Finding]]:
     """Check the options in a YAML text."""
     try:
         values = yaml.safe_load(text)
         model = PolicyModel.model_validate({} if values is None else values)
     except yaml.YAMLError as exc:
-        return result.Failure([errors.Finding(place, str(exc))])
+        return result.Failure([errors.Finding(source, str(exc))])
     except pydantic.ValidationError as exc:
         return result.Failure([errors.Finding(
-            f"{place}:{'.'.join(str(part) for part in error['loc'])}",
+            f"{source}:{'.'.join(str(part) for part in error['loc'])}",
             error["msg"]) for error in exc.errors()])
     policy = policy_mod.Policy(**model.model_dump())
     findings = [
-        errors.Finding(f"{place}:{option}", f"does nothing without {needed}")
-        for option, needed in NEEDS
-        if getattr(policy, option) and not getattr(policy, needed)]
+        errors.Finding(f"{source}:{option}",
+                       f"does nothing without {required}")
+        for option, required in REQUIRED_OPTIONS
+        if getattr(policy, option) and not getattr(policy, required)]
     return result.Failure(findings) if findings else result.Success(policy)
--- a/tests/platformfakes.py
+++ b/tests/platformfakes.py
@@ -21,7 +21,7 @@
 Body = dict[str, typing.Any]
 
 
-class Server:
+class FaultyServer:
     """Answer JSON calls through a handler; misbehave on demand.
 
     fault: "" serves; "busy" answers 503, "many" 429; "lost" carries the call
@@ -35,13 +35,13 @@
         self.fault = ""
         self.calls: list[str] = []
         self.headers: list[dict[str, str]] = []
-        outer = self
+        fake_server = self
 
         class Handler(http.server.BaseHTTPRequestHandler):
             protocol_version = "HTTP/1.1"
 
             def serve(self) -> None:
-                outer.answer(self)
+                fake_server.respond(self)
 
             do_GET = do_POST = do_DELETE = serve
 
@@ -55,36 +55,38 @@
         threading.Thread(target=self.server.serve_forever, args=(0.02,),
                          daemon=True).start()
 
-    def answer(self, call: http.server.BaseHTTPRequestHandler) -> None:
-        length = int(call.headers.get("Content-Length") or 0)
-        body = json.loads(call.rfile.read(length) or b"{}")
-        path, _, query = call.path.partition("?")
-        fields = {k: v[0] for k, v in urllib.parse.parse_qs(query).items()}
+    def respond(self, request: http.server.BaseHTTPRequestHandler) -> None:
+        length = int(request.headers.get("Content-Length") or 0)
+        body = json.loads(request.rfile.read(length) or b"{}")
+        path, _, query = request.path.partition("?")
+        query_fields = {k: v[0]
+                        for k, v in urllib.parse.parse_qs(query).items()}
         self.calls.append(path)
-        self.headers.append(dict(call.headers))
+        self.headers.append(dict(request.headers))
         if self.fault == "silent":
             time.sleep(3)
-            call.close_connection = True
+            request.close_connection = True
             return
         if self.fault == "slow":
             time.sleep(0.3)
         if self.fault in ("busy", "many"):
             status, reply = (503 if self.fault == "busy" else 429), {}
         else:
-            status, reply = self.handle(call.command, path, fields, body)
+            status, reply = self.handle(
+                request.command, path, query_fields, body)
         if self.fault == "reset":
             # Without waiting for what is to be sent, an end is a reset.
-            call.connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER,
-                                       struct.pack("ii", 1, 0))
-            call.connection.close()
+            request.connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER,
+                                          struct.pack("ii", 1, 0))
+            request.connection.close()
         if self.fault in ("lost", "reset"):
-            call.close_connection = True
+            request.close_connection = True
             return
         data = json.dumps(reply).encode()
-        call.send_response(status)
-        call.send_header("Content-Length", str(len(data)))
-        call.end_headers()
-        call.wfile.write(data)
+        request.send_response(status)
+        request.send_header("Content-Length", str(len(data)))
+        request.end_headers()
+        request.wfile.write(data)
 
     def close(self) -> None:
         """Stop serving."""
@@ -98,10 +100,10 @@
             "value": base64.b64encode(item.value).decode()}
 
 
-class StoreServer(Server):
+class StoreServer(FaultyServer):
     """The platform's store before a store in memory."""
 
-    PAGE = 2
+    PAGE_SIZE = 2
 
     def __init__(self) -> None:
         super().__init__(self._handle)
@@ -127,18 +129,19 @@
             return 200, {**_row(item), "current_rev": memory.revision}
         if path == "/-/kv-range":
             listing = memory.listing(query["prefix"])
-            rest = [i for i in listing.items if i.key > query.get("after",
-                                                                  "")]
-            return 200, {"items": [_row(i) for i in rest[:self.PAGE]],
-                         "has_more": len(rest) > self.PAGE,
+            remaining = [i for i in listing.items
+                         if i.key > query.get("after", "")]
+            return 200, {"items": [_row(i)
+                                   for i in remaining[:self.PAGE_SIZE]],
+                         "has_more": len(remaining) > self.PAGE_SIZE,
                          "current_rev": listing.revision}
         if path == "/-/kv-watch":
-            found = memory.watch(query["prefix"], int(query["after"]),
-                                 int(query["wait_ms"]))
-            return 200, {"current_rev": found.revision, "events": [
+            changes = memory.watch(query["prefix"], int(query["after"]),
+                                   int(query["wait_ms"]))
+            return 200, {"current_rev": changes.revision, "events": [
                 _row(c.item) if c.item else
                 {"key": c.key, "rev": c.revision, "deleted": True}
-                for c in found.changes]}
+                for c in changes.changes]}
         if path == "/-/kv-txn":
             return 200, {"rev": memory.commit(messages.Transaction(
                 tuple(messages.Expect(e["key"], e["rev"])
--- a/tests/test_fleet_advice.py
+++ b/tests/test_fleet_advice.py
@@ -132,7 +132,7 @@
     (200, None), (429, interfaces.CallRefused),
     (500, interfaces.CallFailed)])
 def test_platform_responses_are_decoded(status, error):
-    server = platformfakes.Server(lambda method, path, query, body: (
+    server = platformfakes.FaultyServer(lambda method, path, query, body: (
         status, {"good": [[body["workers"][0], "t"]], "valid_ms": 3000}))
     service = platform_advice.PlatformAdvice(server.address)
     try:
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -18,12 +18,12 @@
 from sycamorefield.fleet import messages
 from sycamorefield.fleet import records
 from sycamorefield.platform import bootsettings
-from sycamorefield.platform import calls
 from sycamorefield.platform import configuration
+from sycamorefield.platform import connections
 from sycamorefield.platform import daemon as daemon_mod
-from sycamorefield.platform import exchange
 from sycamorefield.platform import front as front_mod
 from sycamorefield.platform import jobbody
+from sycamorefield.platform import jsonclient
 from sycamorefield.platform import store as store_mod
 from sycamorefield.platform import workers as workers_mod
 from tests import fleetfakes
@@ -55,7 +55,7 @@
         (messages.Expect(key, revision),), (messages.Put(key, value),)))
 
 
-def test_store_reads_what_it_wrote_over_pages(store):
+def test_listing_returns_items_of_all_pages(store):
     for n in range(5):
         put(store, f"in/{n}", bytes([n, 255]))
     listing = store.listing("in/")
@@ -65,7 +65,7 @@
     assert store.get("in/9") is None
 
 
-def test_store_tells_conflicts_with_what_stands(store):
+def test_conflict_carries_current_item(store):
     revision = put(store, "k", b"mine")
     with pytest.raises(interfaces.Conflict) as caught:
         put(store, "k", b"other")
@@ -73,7 +73,7 @@
     assert caught.value.item_for("k").revision == revision
 
 
-def test_watch_brings_changes_and_removals(store):
+def test_watch_returns_changes_and_removals(store):
     revision = put(store, "k/1")
     put(store, "k/2")
     store.commit(messages.Transaction(removes=("k/1",)))
@@ -82,14 +82,14 @@
         ("k/2", False), ("k/1", True)]
 
 
-def test_lost_history_is_told(server, store):
+def test_watch_from_compacted_revision_raises_error(server, store):
     revision = put(store, "k/1")
     server.memory.compact()
     with pytest.raises(interfaces.HistoryCompacted):
         store.watch("k/", revision, 100)
 
 
-def test_leases_are_granted_renewed_and_end(server, store):
+def test_ended_lease_cannot_be_renewed(server, store):
     lease = store.grant(2000)
     store.renew(lease)
     server.memory.end_lease(lease)
@@ -106,8 +106,8 @@
     ("reset", interfaces.CallFailed, True),
     ("silent", interfaces.CallFailed, False),
 ])
-def test_refused_and_unanswered_commits_differ(server, store, fault, error,
-                                               stored):
+def test_refused_and_unanswered_commits_raise_different_errors(
+        server, store, fault, error, stored):
     server.fault = fault
     with pytest.raises(interfaces.CallFailed) as caught:
         put(store, "k")
@@ -115,10 +115,10 @@
     assert ("k" in server.memory.items) == stored
 
 
-def test_no_listener_means_nothing_was_done():
-    caller = calls.Caller("127.0.0.1:9", 1)
+def test_closed_port_raises_connection_refused():
+    client = jsonclient.JsonClient("127.0.0.1:9", 1)
     with pytest.raises(interfaces.ConnectionRefused):
-        caller.call("GET", "/", 0.3)
+        client.call("GET", "/", 0.3)
 
 
 ENTRY = {"service": "s", "addr": "10.0.0.1:80", "zone": "z", "version": "v1",
@@ -132,7 +132,8 @@
      messages.AdvicePolicy(5.0, 2.0, 3000.0)),
     (True, messages.AdvicePolicy()), ([1], messages.AdvicePolicy()),
     ({"decide_ms": "x"}, messages.AdvicePolicy())])
-def test_an_advice_policy_never_hides_the_configuration(advice, policy):
+def test_unreadable_advice_policy_does_not_reject_configuration(
+        advice, policy):
     """Read all queues also where one has a policy that cannot be read."""
     routes = [{**CONFIG["routes"][0], "advice": advice}, CONFIG["routes"][1]]
     decoded = configuration.decode(
@@ -152,14 +153,14 @@
     json.dumps({**ENTRY, "labels": [1]}).encode(),
     json.dumps({**ENTRY, "remaining_ms": "soon"}).encode(),
 ])
-def test_foreign_entries_are_skipped_and_the_others_hold(store, value):
+def test_invalid_worker_entries_are_skipped(store, value):
     put(store, "servers/i-1", value)
     put(store, "servers/i-2", json.dumps(ENTRY).encode())
-    roster = workers_mod.PlatformWorkerList(store)
-    assert [w.worker_id for w in roster.workers()] == ["i-2"]
+    worker_list = workers_mod.PlatformWorkerList(store)
+    assert [w.worker_id for w in worker_list.workers()] == ["i-2"]
 
 
-def test_entry_is_decoded_into_typed_fields(store):
+def test_worker_entry_is_decoded(store):
     put(store, "servers/i-2", json.dumps(
         {**ENTRY, "state": "draining", "remaining_ms": 900}).encode())
     (worker,) = workers_mod.PlatformWorkerList(store).workers()
@@ -170,7 +171,7 @@
 
 
 def worker_server(status, body):
-    return platformfakes.Server(lambda *_: (status, body))
+    return platformfakes.FaultyServer(lambda *_: (status, body))
 
 
 def platform_worker(server):
@@ -201,7 +202,7 @@
     {"clock_ms": 1, "ended": [[1, f"{JOB_ID}.0.1.x", 1, "done", ""]]},
     {"clock_ms": 1, "ended": 7},
 ], ids=["empty", "null", "text", "name", "short-row", "index", "no-rows"])
-def test_answer_that_cannot_be_read_counts_as_none(body):
+def test_unreadable_response_raises_call_failed(body):
     """Take an unreadable answer for a call whose outcome is not known.
 
     Symptom would be a worker that is given starts which are never sent.
@@ -232,7 +233,7 @@
     (421, {}, interfaces.IncarnationMismatch, ""),
     (500, {}, interfaces.CallFailed, ""),
 ])
-def test_rejections_are_told_apart(status, body, error, reason):
+def test_rejected_orders_raise_distinct_errors(status, body, error, reason):
     server = worker_server(status, body)
     with pytest.raises(error) as caught:
         platform_worker(server).start(
@@ -241,7 +242,7 @@
     server.close()
 
 
-def test_configuration_becomes_queues_longest_prefix_first():
+def test_queue_with_longest_prefix_matches_first():
     config = configuration.decode(json.dumps(CONFIG).encode())
     assert config.match("h", "/x/y/1").name == "b"
     assert config.match("h", "/x/1").name == "a"
@@ -251,7 +252,7 @@
 
 @pytest.mark.parametrize("value", [b"", b"[]", b"{}", b"\xff",
                                    b'{"version": "x"}'])
-def test_unreadable_configuration_is_an_error(value):
+def test_unreadable_configuration_raises_value_error(value):
     with pytest.raises(ValueError):
         configuration.decode(value)
 
@@ -263,39 +264,39 @@
     '{"steps": [{"count": 1}, {"count": 1, "after": [2]}]}',
     json.dumps({"spec": "x" * 4001, "steps": [{"count": 1}]}),
 ])
-def test_bad_jobs_are_rejected(body):
+def test_invalid_jobs_are_rejected(body):
     queue = messages.Queue("a", "h", "/x/", "s")
     with pytest.raises(pydantic.ValidationError):
         jobbody.decode(JOB_ID, queue, 0.0, body.encode())
 
 
-class Client:
+class FrontClient:
     """Call the front as a caller does, without a socket."""
 
     def __init__(self, store) -> None:
         self.config = configuration.decode(json.dumps(CONFIG).encode())
         self.stopping = False
-        self.store_silent = False
-        self.front = front_mod.Front(
+        self.store_unresponsive = False
+        self.front = front_mod.FrontApp(
             jobrequests_mod.JobRequestHandler(
-                store, lambda: self.store_silent),
+                store, lambda: self.store_unresponsive),
             lambda: self.config, lambda: True,
             lambda: self.stopping, lambda: "metric 1\n")
 
     def call(self, method, path, body=b"", host="h", deadline="800"):
-        answer = {}
+        response = {}
 
-        def start(status, headers):
-            answer["status"] = int(status.split()[0])
-            answer["headers"] = dict(headers)
+        def start_response(status, headers):
+            response["status"] = int(status.split()[0])
+            response["headers"] = dict(headers)
 
         data = self.front({
             "REQUEST_METHOD": method, "PATH_INFO": path, "HTTP_HOST": host,
             "HTTP_SYCAMOREFIELD_DEADLINE": deadline,
             "CONTENT_LENGTH": str(len(body)),
-            "wsgi.input": io.BytesIO(body)}, start)
-        answer["body"] = json.loads(b"".join(data))
-        return answer
+            "wsgi.input": io.BytesIO(body)}, start_response)
+        response["body"] = json.loads(b"".join(data))
+        return response
 
 
 JOB = json.dumps({"spec": "s", "steps": [{"count": 2, "cpu": 5}]}).encode()
@@ -316,22 +317,23 @@
     ("GET", "/x/", b"", "h", 200),
     ("GET", "/-/ready", b"", "h", 200),
 ])
-def test_front_answers_each_request_clearly(store, method, path, body, host,
-                                            status):
-    assert Client(store).call(method, path, body, host)["status"] == status
+def test_front_returns_expected_status(store, method, path, body, host,
+                                       status):
+    assert FrontClient(store).call(
+        method, path, body, host)["status"] == status
 
 
-@pytest.mark.parametrize("shown", [
+@pytest.mark.parametrize("job_status", [
     {"state": "failed", "reason": "task 0.0.0 failed 2 times"},
     {"state": "failed"}, {"state": "completed"}])
-def test_a_failed_job_is_shown_with_its_reason(store, shown):
+def test_status_of_failed_job_includes_reason(store, job_status):
     """Guards against a job that fails without its caller learning why."""
-    put(store, records.progress_key(JOB_ID), json.dumps(shown).encode())
-    assert Client(store).call("GET", f"/x/{JOB_ID}")["body"] == shown
+    put(store, records.progress_key(JOB_ID), json.dumps(job_status).encode())
+    assert FrontClient(store).call("GET", f"/x/{JOB_ID}")["body"] == job_status
 
 
-def test_job_is_stored_once_and_shown_and_cancelled(server, store):
-    client = Client(store)
+def test_submit_and_cancel_are_idempotent(server, store):
+    client = FrontClient(store)
     for _ in range(2):
         assert client.call("POST", f"/x/{JOB_ID}", JOB)["status"] == 200
     assert client.call("GET", f"/x/{JOB_ID}")["body"] == {"state": "pending"}
@@ -343,8 +345,8 @@
 
 @pytest.mark.parametrize(("fault", "status"), [
     ("busy", 503), ("many", 503), ("silent", 504)])
-def test_a_job_not_stored_is_refused_truthfully(server, store, fault,
-                                                status):
+def test_submit_is_refused_only_if_job_was_not_stored(server, store, fault,
+                                                      status):
     """Say "not accepted" only when nothing can be stored any more.
 
     Symptom would be a task that starts although every answer to its caller
@@ -352,12 +354,12 @@
     Cause would be one answer for both.
     """
     server.fault = fault
-    answer = Client(store).call("POST", f"/x/{JOB_ID}", JOB)
-    assert answer["status"] == status
-    assert ("Retry-After" in answer["headers"]) == (status == 503)
+    response = FrontClient(store).call("POST", f"/x/{JOB_ID}", JOB)
+    assert response["status"] == status
+    assert ("Retry-After" in response["headers"]) == (status == 503)
 
 
-def test_nothing_is_written_to_a_store_that_does_not_answer(server, store):
+def test_no_writes_to_store_after_unanswered_call(server, store):
     """Refuse new jobs truthfully during an outage of the store.
 
     Symptom: callers were told that the fate of 169 requests was unknown,
@@ -365,12 +367,12 @@
     for 5 s; each write might still have been carried out.  Cause: writing
     to a store that had not answered the last call.
     """
-    client = Client(store)
+    client = FrontClient(store)
     server.fault = "silent"
     assert client.call("POST", f"/x/{JOB_ID}", JOB)["status"] == 504
-    other = client.call("POST", f"/x/{JOB_ID[::-1]}", JOB)
-    assert other["status"] == 503
-    assert other["headers"]["Retry-After"] == "1"
+    other_response = client.call("POST", f"/x/{JOB_ID[::-1]}", JOB)
+    assert other_response["status"] == 503
+    assert other_response["headers"]["Retry-After"] == "1"
     assert client.call("POST", f"/x/{JOB_ID}", JOB)["status"] == 504
     server.fault = ""
     for job_id in (JOB_ID, JOB_ID[::-1]):
@@ -381,39 +383,39 @@
     ("POST", f"/x/{JOB_ID}", JOB), ("GET", f"/x/{JOB_ID}", b""),
     ("DELETE", f"/x/{JOB_ID}", b""), ("GET", "/x/", b"")],
     ids=["submit", "state", "cancel", "waiting"])
-def test_callers_are_refused_at_once_while_the_store_is_silent(
+def test_requests_fail_fast_while_store_is_unresponsive(
         server, store, method, path, body):
     """Hold nobody until a timeout when the outage is known already."""
-    client = Client(store)
-    client.store_silent = True
+    client = FrontClient(store)
+    client.store_unresponsive = True
     calls_before = len(server.calls)
-    answer = client.call(method, path, body)
-    assert answer["status"] == 503
-    assert "Retry-After" in answer["headers"]
+    response = client.call(method, path, body)
+    assert response["status"] == 503
+    assert "Retry-After" in response["headers"]
     assert len(server.calls) == calls_before
 
 
-def test_a_job_whose_stores_answer_was_lost_is_accepted(server, store):
+def test_resubmission_succeeds_after_lost_commit_response(server, store):
     server.fault = "lost"
-    client = Client(store)
+    client = FrontClient(store)
     assert client.call("POST", f"/x/{JOB_ID}", JOB)["status"] == 504
     server.fault = ""
     assert client.call("POST", f"/x/{JOB_ID}", JOB)["status"] == 200
 
 
-def test_no_configuration_yet_is_a_refusal(store):
-    client = Client(store)
+def test_submit_before_configuration_is_refused(store):
+    client = FrontClient(store)
     client.config = messages.Configuration()
-    answer = client.call("POST", f"/x/{JOB_ID}", JOB)
-    assert answer["status"] == 503
-    assert answer["headers"]["Retry-After"] == "1"
+    response = client.call("POST", f"/x/{JOB_ID}", JOB)
+    assert response["status"] == 503
+    assert response["headers"]["Retry-After"] == "1"
 
 
-def test_answers_close_connections_while_stopping(store):
-    client = Client(store)
+def test_responses_close_connections_while_stopping(store):
+    client = FrontClient(store)
     client.stopping = True
-    answer = client.call("GET", "/x/")
-    assert answer["headers"]["Connection"] == "close"
+    response = client.call("GET", "/x/")
+    assert response["headers"]["Connection"] == "close"
 
 
 @pytest.mark.parametrize(("variable", "front", "address"), [
@@ -423,7 +425,7 @@
     ("", "10.1.0.13:8161", "10.1.0.13:6015"),
     ("x", "10.1.0.13:8161", "10.1.0.13:6015"),
 ], ids=["deploy-file", "taken", "unset", "empty", "unreadable"])
-def test_metrics_are_served_where_the_deploy_file_says(
+def test_metrics_address_uses_deploy_port_if_free(
         monkeypatch, variable, front, address):
     """Serve metrics where they are fetched, on every day.
 
@@ -432,9 +434,9 @@
     listened on the last port of port_range, which differs from day to day.
     """
     if variable is None:
-        monkeypatch.delenv(bootsettings.METRICS_VARIABLE, raising=False)
+        monkeypatch.delenv(bootsettings.METRICS_PORT_VARIABLE, raising=False)
     else:
-        monkeypatch.setenv(bootsettings.METRICS_VARIABLE, variable)
+        monkeypatch.setenv(bootsettings.METRICS_PORT_VARIABLE, variable)
     settings = bootsettings.BootSettings(
         node="n", ip="10.1.0.13", port_range=(6000, 6015),
         listen={"front": front, "ready": "10.1.0.13:8167"},
@@ -442,13 +444,13 @@
     assert settings.metrics_address() == address
 
 
-def test_deploy_file_tells_the_process_where_metrics_are_fetched():
+def test_deploy_file_sets_metrics_port_variable():
     path = os.path.join(os.path.dirname(__file__), "..", "deploy",
                         "system.toml")
     with open(path, "rb") as file:
         role = tomllib.load(file)["roles"]["entry"]
     port, _, place = role["metrics"].partition("/")
-    assert role["env"][bootsettings.METRICS_VARIABLE] == port
+    assert role["env"][bootsettings.METRICS_PORT_VARIABLE] == port
     assert place == "metrics"
 
 
@@ -461,20 +463,21 @@
     return ports
 
 
-def test_metrics_can_be_fetched_at_the_port_of_the_deploy_file(
+def test_metrics_are_served_at_deploy_port(
         monkeypatch, server):
-    front, ready, metrics, last = free_ports(4)
-    monkeypatch.setenv(bootsettings.METRICS_VARIABLE, str(metrics))
+    front_port, ready_port, metrics_port, last_port = free_ports(4)
+    monkeypatch.setenv(bootsettings.METRICS_PORT_VARIABLE, str(metrics_port))
     daemon = daemon_mod.Daemon(bootsettings.BootSettings(
-        node="n", ip="127.0.0.1", port_range=(last, last),
-        listen={"front": f"127.0.0.1:{front}", "ready": f"127.0.0.1:{ready}"},
+        node="n", ip="127.0.0.1", port_range=(last_port, last_port),
+        listen={"front": f"127.0.0.1:{front_port}",
+                "ready": f"127.0.0.1:{ready_port}"},
         platform={"addr": server.address}))
-    servers = daemon._listen()
+    servers = daemon._start_servers()
     try:
-        with urllib.request.urlopen(f"http://127.0.0.1:{metrics}/metrics",
-                                    timeout=5) as answer:
-            text = answer.read().decode()
-            headers = answer.headers
+        with urllib.request.urlopen(f"http://127.0.0.1:{metrics_port}/metrics",
+                                    timeout=5) as response:
+            text = response.read().decode()
+            headers = response.headers
     finally:
         for listener in servers:
             listener.stop()
@@ -483,26 +486,26 @@
     assert "fleet_owner 0" in text.splitlines()
 
 
-def test_calls_share_a_connection_until_the_server_ends_it(server, store):
+def test_connection_is_reused_until_server_closes_it(server, store):
     """Open one connection for calls one after the other.
 
     Symptom: an owner spent most of its processor time on connections.  A
     connection that the server has closed meanwhile is not used again: a call
     on it would have no answer though the server is well.
     """
-    sockets = set()
-    answer = server.answer
+    client_addresses = set()
+    respond = server.respond
 
-    def note(call):
-        sockets.add(call.client_address)
-        answer(call)
+    def record_socket(call):
+        client_addresses.add(call.client_address)
+        respond(call)
         call.close_connection = len(server.calls) == 3
-    server.answer = note
+    server.respond = record_socket
     for number in range(3):
         put(store, f"k/{number}")
     time.sleep(0.05)
     put(store, "k/3")
-    assert len(sockets) == 2
+    assert len(client_addresses) == 2
 
 
 @pytest.mark.parametrize("data", [
@@ -510,13 +513,13 @@
     b'{"clock_ms": 5, "running": [["a.0.0.0", "x"]]}',
     b'{"clock_ms": 5, "ended": [[1, "a.0.0.0"]]}',
     b'{"running": []}', b"[]", b"", b"<html>"])
-def test_a_report_that_cannot_be_read_tells_no_outcome(data):
+def test_invalid_report_raises_call_failed(data):
     with pytest.raises(interfaces.CallFailed):
-        workers_mod.read_report(data)
+        workers_mod.decode_report(data)
 
 
-def test_a_report_may_leave_out_what_is_empty():
-    report = workers_mod.read_report(
+def test_report_with_omitted_and_unknown_fields_is_decoded():
+    report = workers_mod.decode_report(
         b'{"clock_ms": 5, "running": [["a.0.1.2", 3], '
         b'["a.0.1.3", 1, null, 40, 3250]], "ended": '
         b'[[7, "a.0.0.0", 1, "done", null]], "more": 1}')
@@ -528,7 +531,7 @@
                             ""),))
 
 
-def test_calls_leave_no_garbage_in_cycles(server, store):
+def test_calls_leave_no_parsers_in_reference_cycles(server, store):
     """Free what an answer took as soon as it is read.
 
     Symptom: the owner of hundreds of workers took 90 MB more, over the limit
@@ -540,16 +543,16 @@
     try:
         for number in range(20):
             put(store, f"k/{number}")
-        parsers = sum(isinstance(found, httptools.HttpResponseParser)
-                      for found in gc.get_objects())
+        parsers = sum(isinstance(obj, httptools.HttpResponseParser)
+                      for obj in gc.get_objects())
     finally:
         gc.enable()
-    assert parsers <= store_mod.CONNECTIONS
+    assert parsers <= store_mod.MAX_IDLE_CONNECTIONS
 
 
-@pytest.mark.parametrize("size", [0, 1, exchange.READ_BYTES,
-                                  3 * exchange.READ_BYTES + 1])
-def test_an_answer_may_be_longer_than_the_buffer(server, store, size):
+@pytest.mark.parametrize("size", [0, 1, connections.READ_BUFFER_BYTES,
+                                  3 * connections.READ_BUFFER_BYTES + 1])
+def test_response_longer_than_buffer_is_read(server, store, size):
     value = bytes(range(256)) * (size // 256) + b"x" * (size % 256)
     store.commit(messages.Transaction(puts=(messages.Put("k", value),)))
     assert store.get("k").value == value
--- a/tests/test_platform_stop.py
+++ b/tests/test_platform_stop.py
@@ -24,27 +24,27 @@
     {"name": "a", "host": "h", "prefix": "/x/", "service": "s"}]}
 
 
-class StoreThatGoesSilent(platformfakes.StoreServer):
+class StoreFailingOnOwnerCommit(platformfakes.StoreServer):
     """Answer until an owner first commits, then as the fault says."""
 
     def __init__(self, fault: str) -> None:
         super().__init__()
-        self.to_come = fault
+        self.pending_fault = fault
         self.committed = threading.Event()
 
     def _serve(self, path, query, body):
         written = [put["key"] for put in body.get("puts", ())]
         if records.WAITING_JOBS_KEY in written and not self.committed.is_set():
-            self.fault = self.to_come
+            self.fault = self.pending_fault
             self.committed.set()
             if self.fault == "silent":
                 time.sleep(3)
         return super()._serve(path, query, body)
 
 
-def boot_settings(store_address, folder):
+def write_boot_settings(store_address, directory):
     front, ready, first, last = (standins.free_port() for _ in range(4))
-    path = folder / "boot.json"
+    path = directory / "boot.json"
     path.write_text(json.dumps({
         "node": "n-1", "ip": "127.0.0.1", "zone": "z",
         "listen": {"front": f"127.0.0.1:{front}",
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("fault", ["", "silent", "busy"])
-def test_a_planned_stop_ends_within_the_grace_time(fault, tmp_path):
+def test_planned_stop_ends_within_grace_time(fault, tmp_path):
     """End, with the last line logged, also beside a store that hangs.
 
     Symptom: processes were still there at the end of their grace time and
@@ -64,20 +64,20 @@
     that commit, up to 8 s, before it served on for 3.2 s, and what was left
     to log ended with the thread that writes.
     """
-    store = StoreThatGoesSilent(fault)
+    store = StoreFailingOnOwnerCommit(fault)
     store.memory.commit(messages.Transaction(puts=(messages.Put(
         configuration.KEY, json.dumps(CONFIG).encode()),)))
     process = subprocess.Popen(
         [sys.executable, "-m", "sycamorefield.platform"],
         env={**os.environ, bootsettings.PATH_VARIABLE: str(
-            boot_settings(store.address, tmp_path))},
+            write_boot_settings(store.address, tmp_path))},
         stdout=subprocess.PIPE, text=True)
     try:
         assert store.committed.wait(20.0)
         process.send_signal(signal.SIGTERM)
-        began = time.monotonic()
+        stop_requested_at = time.monotonic()
         out, _ = process.communicate(timeout=GRACE_S)
-        assert time.monotonic() - began >= daemon.SERVE_ON_S
+        assert time.monotonic() - stop_requested_at >= daemon.DRAIN_S
     finally:
         process.kill()
         store.close()
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "{}", "keep_gaps: true"])
-def test_everything_is_on_by_default(text):
+def test_all_mechanisms_are_on_by_default(text):
     assert policysettings.parse(text, "p.yaml") == result.Success(
         policy_mod.Policy())
 
@@ -24,8 +24,8 @@
     field.name for field in dataclasses.fields(policy_mod.Policy)])
 def test_each_mechanism_can_be_switched_off(name):
     text = f"{name}: false\n"
-    for option, needed in policysettings.NEEDS:
-        if needed == name:
+    for option, required in policysettings.REQUIRED_OPTIONS:
+        if required == name:
             text += f"{option}: false\n"
     policy = policysettings.parse(text, "p.yaml").unwrap()
     assert not getattr(policy, name)
@@ -41,7 +41,7 @@
     ("learn_weights: false", "p.yaml:limit_tails"),
 ], ids=["unknown", "number", "text", "not-yaml", "list", "contradiction",
         "contradiction-2"])
-def test_bad_options_are_findings_with_their_place(text, place):
+def test_invalid_options_are_reported_with_location(text, place):
     (finding,) = policysettings.parse(text, "p.yaml").failure()
     assert finding.place == place
 
@@ -51,17 +51,18 @@
     assert [f.place for f in findings] == ["p.yaml:a", "p.yaml:b"]
 
 
-def test_a_file_that_cannot_be_read_is_a_finding(tmp_path):
+def test_missing_file_is_reported(tmp_path):
     (finding,) = policysettings.load(str(tmp_path / "none.yaml")).failure()
     assert finding.place.endswith("none.yaml")
 
 
-@pytest.mark.parametrize(("off", "all_placed"), [
+@pytest.mark.parametrize(("disabled", "all_placed"), [
     ((), False), (("keep_room_for_short_work", "spread_lasting_jobs"), True),
 ], ids=["on", "off"])
-def test_without_room_kept_lasting_tasks_take_all(off, all_placed):
+def test_long_running_tasks_fill_workers_if_no_capacity_is_reserved(
+        disabled, all_placed):
     policy = dataclasses.replace(
-        policy_mod.Policy(), **{name: False for name in off})
+        policy_mod.Policy(), **{name: False for name in disabled})
     bench = test_fleet_state.Bench(*(
         fleetfakes.entry(n, cpu=8000) for n in range(50)), policy=policy)
     bench.add(fleetfakes.job("lasting", messages.Step(
@@ -72,21 +73,21 @@
     assert (len(placed) == 100) is all_placed
 
 
-def test_an_entry_process_does_not_start_on_bad_options(
+def test_entry_process_does_not_start_with_invalid_policy(
         tmp_path, monkeypatch, capsys):
-    boot = tmp_path / "boot.json"
-    boot.write_text('{"node": "n", "platform": {"addr": "127.0.0.1:9"}}')
-    options = tmp_path / "policy.yaml"
-    options.write_text("keep_gap: false")
-    monkeypatch.setenv(bootsettings.PATH_VARIABLE, str(boot))
-    monkeypatch.setenv(daemon.POLICY_VARIABLE, str(options))
+    boot_path = tmp_path / "boot.json"
+    boot_path.write_text('{"node": "n", "platform": {"addr": "127.0.0.1:9"}}')
+    policy_path = tmp_path / "policy.yaml"
+    policy_path.write_text("keep_gap: false")
+    monkeypatch.setenv(bootsettings.PATH_VARIABLE, str(boot_path))
+    monkeypatch.setenv(daemon.POLICY_VARIABLE, str(policy_path))
     monkeypatch.setattr(daemon.events, "configure_stdout", lambda *_: None)
-    with pytest.raises(SystemExit) as stopped:
+    with pytest.raises(SystemExit) as caught:
         daemon.main()
-    assert stopped.value.code == daemon.EXIT_SETTINGS
+    assert caught.value.code == daemon.EXIT_INVALID_POLICY
     assert "policy.yaml:keep_gap" in capsys.readouterr().err
 
 
-def test_the_deployed_options_are_good():
+def test_deployed_policy_is_valid():
     policy = policysettings.load("deploy/policy.yaml").unwrap()
     assert policy == policy_mod.Policy()
