--- a/sycamorefield/platform/__init__.py
+++ b/sycamorefield/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Speak the users' platform: names, formats and calls, no decisions."""
+"""Adapter to the users' platform: names, formats and calls only."""
--- a/sycamorefield/platform/advice.py
+++ b/sycamorefield/platform/advice.py
@@ -1,16 +1,16 @@
-"""Speak to the platform's advice service."""
+"""Client of the platform's advice service."""
 
 from sycamorefield.fleet import interfaces
 from sycamorefield.fleet import messages
 from sycamorefield.platform import jsonclient
 
-# Beyond what the policy says a call takes: its way and its turn behind the
-# calls of the same VM.
+# Added to the duration that the policy states for a call: the network latency
+# and the wait behind other calls of the same VM.
 RESPONSE_SLACK_S = 1.0
 
 
 class PlatformAdvice(interfaces.AdviceService):
-    """Ask over HTTP, one call at a time."""
+    """Calls the advice service over HTTP, over a single pooled connection."""
 
     def __init__(self, address: str) -> None:
         self.client = jsonclient.JsonClient(address, 1)
--- a/sycamorefield/platform/bootsettings.py
+++ b/sycamorefield/platform/bootsettings.py
@@ -1,4 +1,4 @@
-"""Read the settings file that the platform gives a process."""
+"""Read the settings file that the platform passes to a process."""
 
 import os
 
@@ -6,36 +6,36 @@
 
 ORDERS_BY_RPC = "rpc"
 PATH_VARIABLE = "SYCAMOREFIELD_BOOT"
-# The port of `metrics` in deploy/system.toml, which gives both: metrics are
-# fetched at that port, while port_range is drawn anew for each day.
+# deploy/system.toml sets this variable to the port of its `metrics` entry, at
+# which metrics are fetched; port_range differs from day to day.
 METRICS_PORT_VARIABLE = "SYCAMOREFIELD_METRICS_PORT"
 
 
 class ListenModel(pydantic.BaseModel):
-    """Check the addresses to listen on (host:port)."""
+    """Addresses to listen on (host:port)."""
 
     front: str = ""
     ready: str = ""
 
 
 class StoreModel(pydantic.BaseModel):
-    """Check where the platform's store is."""
+    """Address of the platform's store (host:port)."""
 
     addr: str
 
 
 class LimitsModel(pydantic.BaseModel):
-    """Check the processors: a share of a core, so many times as fast."""
+    """CPU limit: a share of a core, and the speed of a core as a factor."""
 
     cpu_share: float = 1.0
     cores: float = 1.0
 
 
 class BoundsModel(pydantic.BaseModel):
-    """Check the bounds that the product follows.
+    """Bounds that the platform imposes.
 
-    Workers shorten leases to hold_max_ms; a process that stops is killed
-    after grace_s.
+    Workers shorten leases to hold_max_ms; a process that has been told to
+    stop is killed after grace_s.
     """
 
     hold_max_ms: int = 6000
@@ -43,7 +43,7 @@
 
 
 class BootSettings(pydantic.BaseModel):
-    """Check the settings of one process; unknown fields are ignored."""
+    """Settings of one process; unknown fields are ignored."""
 
     node: str
     ip: str = ""
@@ -57,10 +57,11 @@
     advice: str | None = None
 
     def metrics_address(self) -> str:
-        """Return where to serve metrics: the deploy file's port if free.
+        """Return the metrics address, with the deploy file's port if free.
 
-        A day's ports may happen to include it; callers go first then, and
-        metrics move to the last port that is free for the process.
+        The ports drawn for a day may include it.  If the front or ready
+        address uses it, callers take precedence, and metrics are served on
+        the last port of port_range, which is free for the process.
         """
         port = os.environ.get(METRICS_PORT_VARIABLE, "")
         used_ports = {address.rpartition(":")[2]
--- a/sycamorefield/platform/configuration.py
+++ b/sycamorefield/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Decode the operators' configuration into ordered queues."""
+"""Decode the operators' configuration."""
 
 import json
 import typing
@@ -12,7 +12,7 @@
 
 
 class AdviceModel(pydantic.BaseModel):
-    """Check a queue's advice policy; period_ms counts for each worker."""
+    """A queue's advice policy; period_ms is the time per worker."""
 
     decide_ms: float = 0.0
     period_ms: float = 0.0
@@ -20,7 +20,7 @@
 
 
 class RouteModel(pydantic.BaseModel):
-    """Check one route."""
+    """A route, which defines a queue."""
 
     name: str
     host: str
@@ -34,13 +34,13 @@
 
 
 class LimitsModel(pydantic.BaseModel):
-    """Check the limits on requests."""
+    """Limits on requests."""
 
     max_body_bytes: int = 262_144
 
 
 class ConfigModel(pydantic.BaseModel):
-    """Check a whole configuration."""
+    """The operators' configuration."""
 
     version: int
     routes: list[RouteModel] = []
@@ -48,9 +48,9 @@
 
 
 def decode(value: bytes) -> messages.Configuration:
-    """Return the configuration; raises ValueError if it cannot be read.
+    """Return the configuration; raises ValueError if it is invalid.
 
-    Queues are ordered so that the first match is the longest prefix.
+    Queues with longer prefixes come first, so the first match is the longest.
     """
     model = ConfigModel.model_validate(json.loads(value))
     queues = [messages.Queue(route.name, route.host, route.prefix,
@@ -67,8 +67,9 @@
 def _advice_policy(advice: typing.Any) -> messages.AdvicePolicy | None:
     """Return a queue's advice policy, or None if it has none.
 
-    One that cannot be read must not hide the rest of the configuration; the
-    service's answers then say how long tickets hold.
+    An invalid policy must not make the rest of the configuration unusable; it
+    is replaced by the default, and the validity of tickets then comes from
+    the responses of the advice service.
     """
     if not advice:
         return None
--- a/sycamorefield/platform/connections.py
+++ b/sycamorefield/platform/connections.py
@@ -1,8 +1,9 @@
-"""Exchange HTTP/1.1 messages with one server over connections kept open.
+"""Pool of HTTP/1.1 connections to one server.
 
-An owner makes hundreds of calls a second, and a call is most of what a report
-or an order costs it.  urllib3 opens the connections; a request is then one
-write, and httptools, a parser in C, reads the answer.
+An owner makes hundreds of calls a second, and most of the CPU time that a
+report or an order takes is spent on its call.  urllib3 therefore only opens
+the connections; each request is a single write, and httptools, a parser
+written in C, parses the response.
 """
 
 import collections
@@ -15,27 +16,28 @@
 
 from sycamorefield.fleet import interfaces
 
-# A connection to a VM without power never opens; a data centre away a
-# handshake takes 3 ms, so half a second means that nobody is there.
+# Connecting to a VM that is powered off gets no answer.  A handshake with
+# another data centre takes 3 ms, so after half a second the VM is unreachable.
 CONNECT_TIMEOUT_S = 0.5
-# Each connection keeps one buffer of this size, which takes a usual answer.
+# Size of the buffer of each connection; a typical response fits into it.
 READ_BUFFER_BYTES = 2048
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Response:
-    """Hold the status and the body of an answer."""
+    """Status and undecoded body of a response."""
 
     status: int
     body: bytes
 
 
 class Connection:
-    """Send one request at a time to a server.
+    """A connection that carries one request at a time.
 
-    One parser serves all answers of the connection.  Parser and connection
-    refer to each other: made anew for each answer, they would be garbage that
-    only a collection of cycles finds, tens of megabytes between two.
+    One parser parses all responses of the connection.  The parser and the
+    connection refer to each other: a parser for each response would leave
+    reference cycles that only the garbage collector frees, and tens of
+    megabytes of them would pile up between two collections.
     """
 
     def __init__(self, sock: socket.socket) -> None:
@@ -44,33 +46,34 @@
         self.poller = select.poll()
         self.poller.register(sock, select.POLLIN)
         self.parser = httptools.HttpResponseParser(self)
-        # One allocated for each read is held while a call waits, and what
-        # hundreds of threads allocate and give back stays with the process.
+        # Reused because a buffer allocated for each read would be held while
+        # the call waits, and memory that hundreds of threads allocate and
+        # free is not returned to the operating system.
         self.buffer = bytearray(READ_BUFFER_BYTES)
         self.body_parts: list[bytes] = []
         self.response: Response | None = None
-        # Whether it may be used again after this answer.
+        # Whether the last response allows another request.
         self.reusable = False
 
     def on_body(self, part: bytes) -> None:
-        """Take in a part of a body, for the parser."""
+        """Store a part of the body; called by the parser."""
         self.body_parts.append(part)
 
     def on_message_complete(self) -> None:
-        """Take in the end of an answer, for the parser."""
+        """Store the complete response; called by the parser."""
         self.response = Response(int(self.parser.get_status_code()),
                                  b"".join(self.body_parts))
         self.reusable = bool(self.parser.should_keep_alive())
 
     def closed_by_server(self) -> bool:
-        """Tell whether the other end has closed it while it was idle."""
+        """Return whether the server closed the connection while idle."""
         return bool(self.poller.poll(0))
 
     def send(self, request: bytes, timeout_s: float) -> Response:
-        """Send a request and return the answer; raises CallFailed.
+        """Send a request and return the response; raises CallFailed.
 
-        A connection may go silent for good without a reset: each wait for
-        further bytes ends after the timeout.
+        A connection may go dead without a reset, so each wait for more bytes
+        ends after the timeout.
         """
         if timeout_s != self.timeout_s:
             self.sock.settimeout(timeout_s)
@@ -95,28 +98,28 @@
             raise interfaces.CallFailed(f"not HTTP: {exc!r}") from exc
 
     def _closed_error(self) -> interfaces.CallFailed:
-        """Return what the end of a connection before a whole answer means.
+        """Return the error for a connection closed before a full response.
 
-        A worker that leaves ends its connections in order, between answers; a
-        cut network resets them while the worker goes on.
+        A worker that shuts down closes its connections properly, between
+        responses.  A network failure resets them while the worker goes on.
         """
         if self.body_parts:
             return interfaces.CallFailed("answer broke off")
         return interfaces.ConnectionClosed("closed before an answer")
 
     def close(self) -> None:
-        """Close the connection; it can't be used again."""
+        """Close the connection; it cannot be used again."""
         self.sock.close()
         del self.parser
 
 
 class ConnectionPool:
-    """Keep connections to one server open for the next calls."""
+    """Keeps connections to one server open for reuse."""
 
     def __init__(self, host: str, port: int, max_idle: int) -> None:
         self.host = host
         self.port = port
-        # Idle connections, the one used last at the end.
+        # Idle connections, the most recently used one last.
         self.idle: collections.deque[Connection] = collections.deque()
         self.max_idle = max_idle
 
@@ -162,6 +165,6 @@
         return Connection(http_connection.sock)
 
     def close(self) -> None:
-        """Close the connections that are idle."""
+        """Close all idle connections."""
         while self.idle:
             self.idle.pop().close()
--- a/sycamorefield/platform/daemon.py
+++ b/sycamorefield/platform/daemon.py
@@ -1,4 +1,4 @@
-"""Wire up the entry process on the users' platform."""
+"""Run the entry process on the users' platform."""
 
 import os
 import signal
@@ -26,25 +26,26 @@
 from sycamorefield.platform import workers as workers_mod
 from sycamorefield import policysettings
 
-# Names the file with the policy options; without it defaults are used.
+# Path of the file with the policy options; defaults apply if it is unset.
 POLICY_VARIABLE = "SYCAMOREFIELD_POLICY"
 EXIT_INVALID_POLICY = 2
 
 LISTEN_BACKLOG = 256
 FRONT_THREADS = 16
 ADMIN_THREADS = 2
-# The balancer sends no new connections after two missed checks, 1 s apart.
-# What was sent until then is answered before the listener closes.
+# The load balancer sends no new connections after two failed readiness checks,
+# 1 s apart.  Requests sent until then are answered before the listener closes.
 DRAIN_S = 3.2
-# What a planned stop leaves of the time until the process would be killed, for
-# the last log lines and a VM that is slow.
+# A planned stop ends this long before the process would be killed, to leave
+# time for the last log lines and for a slow VM.
 STOP_MARGIN_S = 0.8
-# The watch is answered each second; a store not heard for this long is away.
+# The watch is answered every second; a store that has not answered for this
+# long counts as unresponsive.
 STORE_UNRESPONSIVE_S = 1.6
 
 
 class Daemon:
-    """Hold everything that one entry process runs."""
+    """An entry process: its listeners, store watcher and fleet ownership."""
 
     def __init__(self, settings: bootsettings.BootSettings,
                  policy: policy_mod.Policy = policy_mod.Policy()) -> None:
@@ -74,11 +75,11 @@
             self.settings.bounds.hold_max_ms, self.advice, self.policy)
 
     def _ready(self) -> bool:
-        """Tell whether new connections are welcome.
+        """Return whether the load balancer may send new connections.
 
-        A VM that the store turns away can accept no job; the balancer then
-        sends callers to others.  When the store is down for all, no VM is
-        ready, and the balancer uses them all.
+        A VM that gets no answer from the store can accept no job, so the load
+        balancer sends callers to other VMs.  If the store is down for all VMs,
+        none is ready, and the load balancer uses all of them.
         """
         return (self.watcher.configuration_known
                 and not self.stop_requested.is_set()
@@ -100,7 +101,7 @@
         return metrics.as_text(gauges, dict(events.COUNTS))
 
     def run(self) -> None:
-        """Serve until SIGTERM, then stop without cutting a request."""
+        """Serve until SIGTERM, then stop without dropping a request."""
         signal.signal(signal.SIGTERM, lambda *_: self.stop_requested.set())
         signal.signal(signal.SIGHUP, lambda *_: self.reload())
         servers = self._start_servers()
@@ -110,19 +111,20 @@
                     metrics=self.settings.metrics_address(),
                     port_range=self.settings.port_range)
         if self.settings.orders != bootsettings.ORDERS_BY_RPC:
-            # Orders would have to travel with workers' heartbeats.
+            # Only orders sent by calls to workers are implemented; another
+            # value asks for orders in the replies to workers' heartbeats.
             events.emit(events.SETTING_IGNORED, setting="orders",
                         value=self.settings.orders)
         self.stop_requested.wait()
         self._stop(servers)
 
     def _stop(self, servers: list[cherrypy._cpserver.Server]) -> None:
-        """Hand the fleet over, answer what comes late, close the listeners.
+        """Hand over the fleet, answer late requests and close the listeners.
 
-        Each waits for calls under way, so they go on side by side and are
-        left behind in the end.  With a silent store the last commit alone
-        outlasts the grace time: the process would be killed, and callers
-        would lose requests that it had read.
+        Each of these waits for calls in progress, so they run concurrently
+        and are abandoned at the deadline.  If the store does not answer, the
+        last commit alone takes longer than the grace time: the process would
+        be killed, and callers would lose requests that it had read.
         """
         deadline = clock.now() + self.settings.bounds.grace_s - STOP_MARGIN_S
         events.emit(events.PROCESS_STOPPING)
@@ -134,7 +136,7 @@
         events.emit(events.PROCESS_STOPPED, unfinished=len(unfinished))
 
     def reload(self) -> None:
-        """Note changed settings; addresses in use stay until a restart."""
+        """Log changed settings; addresses in use stay until a restart."""
         try:
             settings = bootsettings.load()
         except (OSError, ValueError) as exc:
@@ -169,7 +171,7 @@
 
 
 def _join_until(thread: threading.Thread, deadline: float) -> bool:
-    """Wait until a moment of clock.now(); tell whether a thread ended."""
+    """Wait until a deadline (clock.now()); return whether thread ended."""
     thread.join(max(0.0, deadline - clock.now()))
     return not thread.is_alive()
 
@@ -187,16 +189,16 @@
 
 
 def main() -> None:
-    """Run the process named in the settings file."""
+    """Run the entry process that the settings file describes."""
     settings = bootsettings.load()
     log = events.configure_stdout(settings.node, settings.zone)
     loaded = policysettings.load(os.environ.get(POLICY_VARIABLE))
     if not isinstance(loaded, result.Success):
-        # Events are written by a thread that ends with the process.
+        # Events are logged by a thread that would end before writing them.
         for finding in loaded.failure():
             print(f"policy options rejected: {finding}", file=sys.stderr)
         sys.exit(EXIT_INVALID_POLICY)
     Daemon(settings, loaded.unwrap()).run()
     log.finish()
-    # Threads that wait for an answer would keep the process until it comes.
+    # Threads that wait for a response would otherwise delay the exit.
     os._exit(0)
--- a/sycamorefield/platform/front.py
+++ b/sycamorefield/platform/front.py
@@ -1,4 +1,4 @@
-"""Translate callers' HTTP requests on the platform's front address."""
+"""HTTP interface for callers, on the platform's front address."""
 
 import json
 import re
@@ -25,7 +25,7 @@
 
 
 class Reply(typing.NamedTuple):
-    """Hold the status, body and Retry-After (seconds) of an answer."""
+    """Status, JSON body and Retry-After of a response (0: no header)."""
 
     status: int
     body: dict[str, typing.Any] = {}
@@ -33,7 +33,7 @@
 
 
 class FrontApp:
-    """Serve the WSGI application behind front, ready and metrics."""
+    """WSGI application of the front, ready and metrics addresses."""
 
     def __init__(self, job_requests: jobrequests_mod.JobRequestHandler,
                  configuration: typing.Callable[[], messages.Configuration],
@@ -70,8 +70,8 @@
         if reply.retry_after_s:
             headers.append(("Retry-After", str(reply.retry_after_s)))
         if self.stopping():
-            # A caller that sent on a connection closed just then would lose
-            # its request; closing after an answer leaves none to lose.
+            # A request sent while the server closes the connection would be
+            # lost; with this header the caller sends no further request on it.
             headers.append(("Connection", "close"))
         start_response(
             f"{reply.status} {REASON_PHRASES[reply.status]}", headers)
@@ -151,7 +151,7 @@
 
 
 def _deadline(environ: Environ) -> float:
-    """Return until when the caller waits, on clock.now()."""
+    """Return the caller's deadline on clock.now()."""
     header = environ.get(DEADLINE_HEADER, "")
     try:
         timeout_s = float(header) / 1000.0
--- a/sycamorefield/platform/jobbody.py
+++ b/sycamorefield/platform/jobbody.py
@@ -1,4 +1,4 @@
-"""Decode a job as callers hand it in."""
+"""Decode and validate jobs that callers submit."""
 
 import pydantic
 
@@ -8,7 +8,7 @@
 
 
 class StepModel(pydantic.BaseModel):
-    """Check one step; fields that are 0, false or empty are left out."""
+    """A step of a job; callers omit fields that are 0, false or empty."""
 
     count: int = pydantic.Field(ge=1, le=100_000)
     cpu: int = pydantic.Field(default=0, ge=0)
@@ -31,7 +31,7 @@
 
 
 class JobModel(pydantic.BaseModel):
-    """Check a job's body."""
+    """The body of a job request."""
 
     spec: str = ""
     steps: list[StepModel] = pydantic.Field(min_length=1)
@@ -41,7 +41,7 @@
 
     @pydantic.model_validator(mode="after")
     def check_spec_and_steps(self) -> "JobModel":
-        """Reject a spec too long and steps that wait for later ones."""
+        """Reject a too long spec and steps that depend on later ones."""
         if len(self.spec.encode()) > MAX_SPEC_BYTES:
             raise ValueError("spec is longer than 4000 bytes")
         for number, step in enumerate(self.steps):
--- a/sycamorefield/platform/jsonclient.py
+++ b/sycamorefield/platform/jsonclient.py
@@ -1,4 +1,4 @@
-"""Make one HTTP call with a JSON body and its own timeout."""
+"""HTTP client for calls with JSON bodies."""
 
 import dataclasses
 import typing
@@ -15,14 +15,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class JsonResponse:
-    """Hold the status and the bytes of an answer."""
+    """Status and undecoded body of a response."""
 
     status: int
     data: bytes
 
     @property
     def body(self) -> Body:
-        """Return the decoded body; raises CallFailed."""
+        """Return the JSON object or, if none, {}; raises CallFailed."""
         if not self.data:
             return {}
         try:
@@ -34,7 +34,7 @@
 
 
 class JsonClient:
-    """Call one server over a few connections that stay open."""
+    """Calls one server over a pool of connections."""
 
     def __init__(self, address: str, max_idle_connections: int,
                  headers: dict[str, str] | None = None) -> None:
@@ -49,18 +49,18 @@
 
     def call(self, method: str, path: str, timeout_s: float,
              body: Body | None = None) -> JsonResponse:
-        """Return the answer; raises CallRefused or CallFailed."""
+        """Return the response; raises CallRefused or CallFailed."""
         data = b"" if body is None else msgspec.json.encode(body)
         head = (f"{method} {path} HTTP/1.1\r\n{self.headers}\r\n"
                 f"Content-Length: {len(data)}\r\n\r\n")
         started_at = clock.now()
         response = self.pool.send(head.encode() + data, timeout_s)
         if "watch" not in path and path.startswith("/-/"):
-            # A waiting watch measures the wait, not the call.
+            # The duration of a watch is mostly its wait for changes.
             metrics.CALLS.record(path.partition("?")[0].split("/")[2],
                                  clock.now() - started_at)
         return JsonResponse(response.status, response.body)
 
     def close(self) -> None:
-        """Close the connections that are idle."""
+        """Close all idle connections."""
         self.pool.close()
--- a/sycamorefield/platform/store.py
+++ b/sycamorefield/platform/store.py
@@ -1,4 +1,4 @@
-"""Speak the platform's metadata store."""
+"""Client of the platform's metadata store."""
 
 import base64
 import typing
@@ -8,18 +8,18 @@
 from sycamorefield.fleet import messages
 from sycamorefield.platform import jsonclient
 
-# Slow answers of the store take up to about 0.3 s (72 times 4 ms).
+# Slow responses of the store take up to about 0.3 s (72 times 4 ms).
 CALL_TIMEOUT_S = 1.0
 COMMIT_TIMEOUT_S = 0.6
-# A watch that hears nothing answers when its wait ends; what comes later
-# than this behind it means that the connection went silent.
+# A watch without changes is answered when its wait ends.  If no response has
+# arrived this long after that, the connection is considered dead.
 WATCH_SLACK_S = 0.5
 MAX_IDLE_CONNECTIONS = 12
 REFUSED_STATUSES = (429, 503)
 
 
 class PlatformStore(interfaces.Store):
-    """Call the store over HTTP."""
+    """Calls the store over HTTP."""
 
     def __init__(self, address: str) -> None:
         self.client = jsonclient.JsonClient(address, MAX_IDLE_CONNECTIONS)
@@ -33,7 +33,7 @@
         return response
 
     def get(self, key: str) -> messages.Item | None:
-        """Return the item under a key."""
+        """Return the item under a key, or None."""
         response = self._call("GET", "/-/kv-key?" + _query_string(key=key))
         if response.status == 404:
             return None
@@ -41,7 +41,7 @@
         return _decode_item(response.body)
 
     def listing(self, prefix: str) -> messages.Listing:
-        """Return all items under a prefix, page after page."""
+        """Return all items under a prefix, fetched page by page."""
         items: list[messages.Item] = []
         revision = 0
         after = ""
@@ -88,13 +88,13 @@
         return int(response.body["rev"])
 
     def grant(self, ttl_ms: int) -> int:
-        """Return a new lease."""
+        """Return the ID of a new lease that expires after ttl_ms."""
         response = self._call("POST", "/-/kv-lease", {"ttl_ms": ttl_ms})
         _require_ok(response)
         return int(response.body["lease"])
 
     def renew(self, lease: int) -> None:
-        """Renew a lease."""
+        """Renew a lease; raises LeaseEnded if it no longer exists."""
         response = self._call("POST", f"/-/kv-keep/{lease}", {})
         if response.status == 404:
             raise interfaces.LeaseEnded(str(lease))
--- a/sycamorefield/platform/workers.py
+++ b/sycamorefield/platform/workers.py
@@ -1,4 +1,4 @@
-"""Speak to the platform's workers and read their entries in the store."""
+"""Client of the platform's workers and decoder of their store entries."""
 
 import functools
 import json
@@ -13,8 +13,8 @@
 
 ENTRY_PREFIX = "servers/"
 LISTED_STATES = ("ready", "draining")
-# An order takes about 4 ms; a worker that has not answered by then has
-# lost it, or will carry it out seconds later.
+# An order takes about 4 ms; a worker that has not answered within this time
+# has lost the order or will carry it out seconds later.
 ORDER_TIMEOUT_S = 0.6
 REPORT_SLACK_S = 0.8
 MAX_IDLE_CONNECTIONS = 2
@@ -24,7 +24,7 @@
 
 
 class PlatformWorker(interfaces.Worker):
-    """Give orders to one incarnation of a worker over HTTP."""
+    """Sends orders to one incarnation of a worker over HTTP."""
 
     def __init__(self, entry: messages.WorkerEntry) -> None:
         self.client = jsonclient.JsonClient(
@@ -49,7 +49,7 @@
 
     def renew(self, fence: int, recorded_upto: int, lease_end_ms: float | None,
               wait_ms: int) -> messages.WorkerReport:
-        """Extend the lease of all that runs and return the report."""
+        """Extend the leases of all runs and return the worker's report."""
         body: dict[str, typing.Any] = {"fence": fence,
                                        "seen_upto": recorded_upto}
         if lease_end_ms is not None:
@@ -79,7 +79,7 @@
         return _decode_or_fail(_clock_ms, self._post("/-/run-stop", body).body)
 
     def pace(self, order: messages.PaceOrder, fence: int) -> float:
-        """Set the share at which a run works."""
+        """Limit the speed of a run to a percentage."""
         body = {"task": str(order.task), "run": order.run,
                 "percent": order.percent, "fence": fence}
         return _decode_or_fail(_clock_ms, self._post("/-/pace", body).body)
@@ -87,10 +87,11 @@
 
 def _decode_or_fail(decode: typing.Callable[[Body], Decoded],
                     body: Body) -> Decoded:
-    """Return a decoded answer; one that can't be read tells no outcome.
+    """Decode a response body; raises CallFailed if it is invalid.
 
-    Any other error would end the thread that speaks to the worker: its
-    leases would run out, and its starts would wait to be sent for ever.
+    An unreadable response leaves the outcome of the call unknown.  Any other
+    exception would end the thread that calls the worker: the worker's leases
+    would expire, and its pending starts would never be sent.
     """
     try:
         return decode(body)
@@ -104,7 +105,7 @@
 
 
 class RunningRow(msgspec.Struct, array_like=True):
-    """Check one run under way, as a worker lists it."""
+    """A run in progress, as listed in a worker's report."""
 
     task: str
     run: int
@@ -114,7 +115,7 @@
 
 
 class EndedRow(msgspec.Struct, array_like=True):
-    """Check one run that has ended, as a worker lists it."""
+    """An ended run, as listed in a worker's report."""
 
     number: int
     task: str
@@ -124,10 +125,10 @@
 
 
 class ReportBody(msgspec.Struct):
-    """Check a worker's report.
+    """The body of a worker's report.
 
-    Reports are most of what an owner reads, hundreds a second: msgspec checks
-    and decodes one in a single pass.
+    An owner reads hundreds of reports a second, more than anything else;
+    msgspec validates and decodes each in a single pass.
     """
 
     clock_ms: float
@@ -136,12 +137,12 @@
 
 
 REPORT_DECODER = msgspec.json.Decoder(ReportBody)
-# Names of tasks come again in each report while their runs last.
+# Every report repeats the IDs of all tasks that run on the worker.
 TASK_ID_CACHE_SIZE = 16384
 
 
 def decode_report(data: bytes) -> messages.WorkerReport:
-    """Return the report that an answer holds; raises CallFailed."""
+    """Decode the body of a report; raises CallFailed if it is invalid."""
     try:
         body = REPORT_DECODER.decode(data)
         return messages.WorkerReport(
@@ -172,23 +173,23 @@
 
 
 class PlatformWorkerList(interfaces.WorkerList):
-    """Read the entries that workers write into the store."""
+    """Reads the entries that workers write to the store."""
 
     def __init__(self, store: interfaces.Store) -> None:
         self.store = store
 
     def workers(self) -> tuple[messages.WorkerEntry, ...]:
-        """Return the entries that can be read; others are logged."""
+        """Return the valid entries and log the invalid ones."""
         listing = self.store.listing(ENTRY_PREFIX)
         entries = (decode_entry(item) for item in listing.items)
         return tuple(entry for entry in entries if entry is not None)
 
 
 def decode_entry(item: messages.Item) -> messages.WorkerEntry | None:
-    """Return the worker an entry describes, or None with a log line.
+    """Decode a worker's entry; log an invalid one and return None.
 
-    Other writers leave entries that lack fields or cannot be read; such an
-    entry names no worker, and must not hide the others.
+    Other programs write entries that lack fields or cannot be decoded.  Such
+    an entry describes no worker and must not hide the other workers.
     """
     try:
         row = json.loads(item.value)
--- a/sycamorefield/policysettings.py
+++ b/sycamorefield/policysettings.py
@@ -1,7 +1,7 @@
-"""Read the policy options of placing, check them and build the Policy.
+"""Read and validate the options of the placement policy.
 
-All findings are collected with their place and reported together; nothing
-starts on bad options, and none is silently changed.
+All findings are reported together, each with its location.  A process does
+not start with invalid options, and no option is changed silently.
 """
 
 import dataclasses
@@ -16,7 +16,7 @@
 
 
 def _make_policy_model() -> type[pydantic.BaseModel]:
-    """Return a model with a strict switch for each field of the Policy."""
+    """Return a model with a strict boolean for each field of Policy."""
     fields: dict[str, typing.Any] = {
         field.name: (bool, field.default)
         for field in dataclasses.fields(policy_mod.Policy)}
@@ -26,14 +26,14 @@
 
 PolicyModel = _make_policy_model()
 
-# Options that do nothing unless another one is on, as (option, needs).
+# Options that have no effect unless another one is on: (option, required).
 REQUIRED_OPTIONS = (("spread_lasting_jobs", "keep_room_for_short_work"),
                     ("limit_tails", "learn_weights"))
 
 
 def load(path: str | None) -> result.Result[policy_mod.Policy,
                                             list[errors.Finding]]:
-    """Read the options from path; the defaults when path is None or empty."""
+    """Read the options from a file; use defaults if path is None or empty."""
     if not path:
         return result.Success(policy_mod.Policy())
     try:
@@ -45,7 +45,7 @@
 
 def parse(text: str, source: str) -> result.Result[policy_mod.Policy,
                                                    list[errors.Finding]]:
-    """Check the options in a YAML text."""
+    """Parse and validate options in YAML; source names their origin."""
     try:
         values = yaml.safe_load(text)
         model = PolicyModel.model_validate({} if values is None else values)
