--- a/tests/platformfakes.py
+++ b/tests/platformfakes.py
@@ -1,7 +1,7 @@
-"""Serve the platform's store and a worker over HTTP, with faults.
+"""Fake HTTP servers of the platform's store and workers, with faults.
 
-Wire formats are written out here a second time on purpose: the adapter is
-tested against what the platform speaks, not against itself.
+The wire formats are deliberately written out a second time here, so that the
+adapter is tested against the platform's formats and not against itself.
 """
 
 import base64
@@ -22,11 +22,12 @@
 
 
 class FaultyServer:
-    """Answer JSON calls through a handler; misbehave on demand.
+    """HTTP server that answers JSON calls and can inject a fault.
 
-    fault: "" serves; "busy" answers 503, "many" 429; "lost" carries the call
-    out and closes; "reset" does so and resets the connection; "silent"
-    neither answers nor closes; "slow" waits.
+    Values of fault: "" (none), "busy" (status 503), "many" (status 429),
+    "lost" (execute the call, then close the connection without a response),
+    "reset" (the same, but reset the connection), "silent" (neither execute
+    nor answer for 3 s) and "slow" (answer after 0.3 s).
     """
 
     def __init__(self, handle: typing.Callable[
@@ -46,7 +47,7 @@
             do_GET = do_POST = do_DELETE = serve
 
             def log_message(self, *args: object) -> None:
-                """Keep quiet."""
+                """Log nothing."""
 
         self.server = http.server.ThreadingHTTPServer(("127.0.0.1", 0),
                                                       Handler)
@@ -75,7 +76,7 @@
             status, reply = self.handle(
                 request.command, path, query_fields, body)
         if self.fault == "reset":
-            # Without waiting for what is to be sent, an end is a reset.
+            # With a linger time of 0, closing resets the connection.
             request.connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER,
                                           struct.pack("ii", 1, 0))
             request.connection.close()
@@ -101,7 +102,7 @@
 
 
 class StoreServer(FaultyServer):
-    """The platform's store before a store in memory."""
+    """HTTP server of the platform's store, backed by a MemoryStore."""
 
     PAGE_SIZE = 2
 
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""Show that the adapter speaks the platform's formats and reports faults."""
+"""Test the wire formats and the error handling of the platform adapter."""
 
 import gc
 import io
@@ -101,8 +101,8 @@
     ("busy", interfaces.CallRefused, False),
     ("many", interfaces.CallRefused, False),
     ("lost", interfaces.ConnectionClosed, True),
-    # A cut network resets connections to a worker that goes on: taken for
-    # the orderly end of one that leaves, its tasks would run twice.
+    # A network failure resets connections to a worker that goes on.  If a
+    # reset counted as the shutdown of the worker, its tasks would run twice.
     ("reset", interfaces.CallFailed, True),
     ("silent", interfaces.CallFailed, False),
 ])
@@ -134,7 +134,7 @@
     ({"decide_ms": "x"}, messages.AdvicePolicy())])
 def test_unreadable_advice_policy_does_not_reject_configuration(
         advice, policy):
-    """Read all queues also where one has a policy that cannot be read."""
+    """Guards against losing all queues if one advice policy is invalid."""
     routes = [{**CONFIG["routes"][0], "advice": advice}, CONFIG["routes"][1]]
     decoded = configuration.decode(
         json.dumps({**CONFIG, "routes": routes}).encode())
@@ -203,12 +203,10 @@
     {"clock_ms": 1, "ended": 7},
 ], ids=["empty", "null", "text", "name", "short-row", "index", "no-rows"])
 def test_unreadable_response_raises_call_failed(body):
-    """Take an unreadable answer for a call whose outcome is not known.
+    """Guards against an invalid response ending a worker's order thread.
 
-    Symptom would be a worker that is given starts which are never sent.
-    Events: an answer lacks its clock or has an odd row; the error ends the
-    thread that sends the worker's orders.  Cause would be to decode answers
-    where only failed calls are expected to raise.
+    The response lacks clock_ms or has a malformed row.  Any error other than
+    CallFailed ends the thread, and the worker's starts are never sent.
     """
     server = worker_server(200, body)
     worker = platform_worker(server)
@@ -271,7 +269,7 @@
 
 
 class FrontClient:
-    """Call the front as a caller does, without a socket."""
+    """Calls the WSGI application as a caller does, without a socket."""
 
     def __init__(self, store) -> None:
         self.config = configuration.decode(json.dumps(CONFIG).encode())
@@ -327,7 +325,7 @@
     {"state": "failed", "reason": "task 0.0.0 failed 2 times"},
     {"state": "failed"}, {"state": "completed"}])
 def test_status_of_failed_job_includes_reason(store, job_status):
-    """Guards against a job that fails without its caller learning why."""
+    """Guards against hiding the reason of a failure from the caller."""
     put(store, records.progress_key(JOB_ID), json.dumps(job_status).encode())
     assert FrontClient(store).call("GET", f"/x/{JOB_ID}")["body"] == job_status
 
@@ -347,11 +345,10 @@
     ("busy", 503), ("many", 503), ("silent", 504)])
 def test_submit_is_refused_only_if_job_was_not_stored(server, store, fault,
                                                       status):
-    """Say "not accepted" only when nothing can be stored any more.
+    """Guards against running a job whose caller was told it was refused.
 
-    Symptom would be a task that starts although every answer to its caller
-    was a refusal.  Events: the store turns calls away, or does not answer.
-    Cause would be one answer for both.
+    A store that refuses the write has not stored the job (503); one that does
+    not answer may still store it (504).  They need different statuses.
     """
     server.fault = fault
     response = FrontClient(store).call("POST", f"/x/{JOB_ID}", JOB)
@@ -360,12 +357,11 @@
 
 
 def test_no_writes_to_store_after_unanswered_call(server, store):
-    """Refuse new jobs truthfully during an outage of the store.
+    """Guards against unknown outcomes during an outage of the store.
 
-    Symptom: callers were told that the fate of 169 requests was unknown,
-    and could not hand them in again.  Events: the store reset connections
-    for 5 s; each write might still have been carried out.  Cause: writing
-    to a store that had not answered the last call.
+    Writing to a store that has not answered the last call may still succeed.
+    While the store reset connections for 5 s, such writes left 169 requests
+    with an unknown outcome, and their callers could not submit them again.
     """
     client = FrontClient(store)
     server.fault = "silent"
@@ -385,7 +381,7 @@
     ids=["submit", "state", "cancel", "waiting"])
 def test_requests_fail_fast_while_store_is_unresponsive(
         server, store, method, path, body):
-    """Hold nobody until a timeout when the outage is known already."""
+    """Guards against callers waiting for a timeout in a known outage."""
     client = FrontClient(store)
     client.store_unresponsive = True
     calls_before = len(server.calls)
@@ -427,11 +423,10 @@
 ], ids=["deploy-file", "taken", "unset", "empty", "unreadable"])
 def test_metrics_address_uses_deploy_port_if_free(
         monkeypatch, variable, front, address):
-    """Serve metrics where they are fetched, on every day.
+    """Guards against metrics that are never collected.
 
-    Symptom: none of the process's metrics were among what was collected of
-    a day.  Cause: they are fetched at the deploy file's port, and the process
-    listened on the last port of port_range, which differs from day to day.
+    They are fetched at the deploy file's port, but the process served them on
+    the last port of port_range, which differs from day to day.
     """
     if variable is None:
         monkeypatch.delenv(bootsettings.METRICS_PORT_VARIABLE, raising=False)
@@ -455,7 +450,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports of this machine that nobody listens on."""
+    """Return free TCP ports of this machine."""
     sockets = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
     ports = [s.getsockname()[1] for s in sockets]
     for s in sockets:
@@ -487,11 +482,11 @@
 
 
 def test_connection_is_reused_until_server_closes_it(server, store):
-    """Open one connection for calls one after the other.
+    """Guards against a new connection for each call.
 
-    Symptom: an owner spent most of its processor time on connections.  A
-    connection that the server has closed meanwhile is not used again: a call
-    on it would have no answer though the server is well.
+    An owner spent most of its CPU time on opening connections.  A connection
+    that the server closed while idle must not be reused: a call on it would
+    get no response although the server is healthy.
     """
     client_addresses = set()
     respond = server.respond
@@ -532,11 +527,11 @@
 
 
 def test_calls_leave_no_parsers_in_reference_cycles(server, store):
-    """Free what an answer took as soon as it is read.
+    """Guards against memory held by reference cycles.
 
-    Symptom: the owner of hundreds of workers took 90 MB more, over the limit
-    of a small VM.  Cause: each answer had a parser that referred back to it,
-    and such cycles wait for the collector.
+    A parser for each response referred back to it.  Such cycles wait for the
+    garbage collector, so the owner of hundreds of workers took 90 MB more,
+    over the limit of a small VM.
     """
     gc.collect()
     gc.disable()
--- a/tests/test_platform_stop.py
+++ b/tests/test_platform_stop.py
@@ -1,4 +1,4 @@
-"""Show that a real entry process stops in time whatever the store does."""
+"""Test that an entry process stops in time even if the store fails."""
 
 import json
 import os
@@ -25,7 +25,7 @@
 
 
 class StoreFailingOnOwnerCommit(platformfakes.StoreServer):
-    """Answer until an owner first commits, then as the fault says."""
+    """Store that turns faulty when an owner first commits."""
 
     def __init__(self, fault: str) -> None:
         super().__init__()
@@ -56,13 +56,11 @@
 
 @pytest.mark.parametrize("fault", ["", "silent", "busy"])
 def test_planned_stop_ends_within_grace_time(fault, tmp_path):
-    """End, with the last line logged, also beside a store that hangs.
+    """Guards against processes killed at the end of their grace time.
 
-    Symptom: processes were still there at the end of their grace time and
-    were killed; their last log lines were missing.  Events: the owner was
-    told to stop while its commit got no answer.  Cause: the stop waited for
-    that commit, up to 8 s, before it served on for 3.2 s, and what was left
-    to log ended with the thread that writes.
+    A stop while a commit was unanswered waited up to 8 s for that commit and
+    then drained requests for 3.2 s, beyond the grace time.  The last log
+    lines were lost with the thread that writes them.
     """
     store = StoreFailingOnOwnerCommit(fault)
     store.memory.commit(messages.Transaction(puts=(messages.Put(
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""Show that policy options are checked and switch mechanisms off."""
+"""Test that policy options are validated and disable mechanisms."""
 
 import dataclasses
 
@@ -65,7 +65,7 @@
         policy_mod.Policy(), **{name: False for name in disabled})
     bench = test_fleet_state.Bench(*(
         fleetfakes.entry(n, cpu=8000) for n in range(50)), policy=policy)
-    bench.add(fleetfakes.job("lasting", messages.Step(
+    bench.add(fleetfakes.job("long-running", messages.Step(
         100, messages.Resources(4000, 10), perpetual=True)))
     placed = []
     for _ in range(50):
