--- a/sycamorefield/platform/workers.py
+++ b/sycamorefield/platform/workers.py
@@ -62,7 +62,7 @@
 
     def start(self, order: messages.StartOrder, fence: int,
               lease_end_ms: float) -> float:
-        """Start a run."""
+        """Start a run and return the worker's time."""
         body: dict[str, typing.Any] = {
             "task": str(order.task), "run": order.run, "spec": order.spec,
             "until_ms": int(lease_end_ms), "fence": fence}
@@ -70,19 +70,21 @@
             body["saved"] = order.saved
         if order.ticket:
             body["ticket"] = order.ticket
-        return _decode_or_fail(_clock_ms,
+        return _decode_or_fail(_decode_clock_ms,
                                self._post("/-/run-start", body).body)
 
     def stop(self, order: messages.StopOrder, fence: int) -> float:
-        """Stop a run."""
+        """Stop a run and return the worker's time."""
         body = {"task": str(order.task), "run": order.run, "fence": fence}
-        return _decode_or_fail(_clock_ms, self._post("/-/run-stop", body).body)
+        return _decode_or_fail(_decode_clock_ms,
+                               self._post("/-/run-stop", body).body)
 
     def pace(self, order: messages.PaceOrder, fence: int) -> float:
-        """Limit the speed of a run to a percentage."""
+        """Limit the speed of a run and return the worker's time."""
         body = {"task": str(order.task), "run": order.run,
                 "percent": order.percent, "fence": fence}
-        return _decode_or_fail(_clock_ms, self._post("/-/pace", body).body)
+        return _decode_or_fail(_decode_clock_ms,
+                               self._post("/-/pace", body).body)
 
 
 def _decode_or_fail(decode: typing.Callable[[Body], Decoded],
@@ -100,7 +102,7 @@
             f"unreadable answer: {exc!r}") from exc
 
 
-def _clock_ms(body: Body) -> float:
+def _decode_clock_ms(body: Body) -> float:
     return float(body["clock_ms"])
 
 
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -444,9 +444,9 @@
                         "system.toml")
     with open(path, "rb") as file:
         role = tomllib.load(file)["roles"]["entry"]
-    port, _, place = role["metrics"].partition("/")
+    port, _, metrics_path = role["metrics"].partition("/")
     assert role["env"][bootsettings.METRICS_PORT_VARIABLE] == port
-    assert place == "metrics"
+    assert metrics_path == "metrics"
 
 
 def free_ports(count: int) -> list[int]:
--- a/tests/test_platform_stop.py
+++ b/tests/test_platform_stop.py
@@ -33,8 +33,9 @@
         self.committed = threading.Event()
 
     def _serve(self, path, query, body):
-        written = [put["key"] for put in body.get("puts", ())]
-        if records.WAITING_JOBS_KEY in written and not self.committed.is_set():
+        written_keys = [put["key"] for put in body.get("puts", ())]
+        if (records.WAITING_JOBS_KEY in written_keys
+                and not self.committed.is_set()):
             self.fault = self.pending_fault
             self.committed.set()
             if self.fault == "silent":
@@ -43,13 +44,15 @@
 
 
 def write_boot_settings(store_address, directory):
-    front, ready, first, last = (standins.free_port() for _ in range(4))
+    front_port, ready_port, first_port, last_port = (
+        standins.free_port() for _ in range(4))
     path = directory / "boot.json"
     path.write_text(json.dumps({
         "node": "n-1", "ip": "127.0.0.1", "zone": "z",
-        "listen": {"front": f"127.0.0.1:{front}",
-                   "ready": f"127.0.0.1:{ready}"},
-        "port_range": [first, last], "platform": {"addr": store_address},
+        "listen": {"front": f"127.0.0.1:{front_port}",
+                   "ready": f"127.0.0.1:{ready_port}"},
+        "port_range": [first_port, last_port],
+        "platform": {"addr": store_address},
         "bounds": {"grace_s": GRACE_S}}))
     return path
 
@@ -74,11 +77,11 @@
         assert store.committed.wait(20.0)
         process.send_signal(signal.SIGTERM)
         stop_requested_at = time.monotonic()
-        out, _ = process.communicate(timeout=GRACE_S)
+        output, _ = process.communicate(timeout=GRACE_S)
         assert time.monotonic() - stop_requested_at >= daemon.DRAIN_S
     finally:
         process.kill()
         store.close()
-    last = json.loads(out.strip().splitlines()[-1])
-    assert last["event"] == events.PROCESS_STOPPED.code
+    last_event = json.loads(output.strip().splitlines()[-1])
+    assert last_event["event"] == events.PROCESS_STOPPED.code
     assert process.returncode == 0
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -39,8 +39,8 @@
     ("- keep_gaps", "p.yaml:"),
     ("keep_room_for_short_work: false", "p.yaml:spread_lasting_jobs"),
     ("learn_weights: false", "p.yaml:limit_tails"),
-], ids=["unknown", "number", "text", "not-yaml", "list", "contradiction",
-        "contradiction-2"])
+], ids=["unknown", "number", "text", "not-yaml", "list",
+        "requires-room-option", "requires-weights-option"])
 def test_invalid_options_are_reported_with_location(text, place):
     (finding,) = policysettings.parse(text, "p.yaml").failure()
     assert finding.place == place
