--- a/sycamorefield/platform/calls.py
+++ b/sycamorefield/platform/jsonclient.py
@@ -1,4 +1,4 @@
-"""Make one HTTP call with a JSON body and its own timeout."""
+"""HTTP client for calls with JSON bodies."""
 
 import dataclasses
 import typing
@@ -8,21 +8,21 @@
 from sycamorefield.fleet import clock
 from sycamorefield.fleet import interfaces
 from sycamorefield import metrics
-from sycamorefield.platform import exchange
+from sycamorefield.platform import connections
 
 Body = dict[str, typing.Any]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answer:
-    """Hold the status and the bytes of an answer."""
+class JsonResponse:
+    """Status and undecoded body of a response."""
 
     status: int
     data: bytes
 
     @property
     def body(self) -> Body:
-        """Return the decoded body; raises CallFailed."""
+        """Return the JSON object or, if none, {}; raises CallFailed."""
         if not self.data:
             return {}
         try:
@@ -33,33 +33,34 @@
         return decoded if isinstance(decoded, dict) else {}
 
 
-class Caller:
-    """Call one server over a few connections that stay open."""
+class JsonClient:
+    """Calls one server over a pool of connections."""
 
-    def __init__(self, address: str, connections: int,
+    def __init__(self, address: str, max_idle_connections: int,
                  headers: dict[str, str] | None = None) -> None:
         host, _, port = address.rpartition(":")
         self.address = address
-        self.pool = exchange.Pool(host, int(port), connections)
-        lines = [f"Host: {address}", "Content-Type: application/json"]
-        lines += [f"{name}: {value}"
-                  for name, value in (headers or {}).items()]
-        self.headers = "\r\n".join(lines)
+        self.pool = connections.ConnectionPool(
+            host, int(port), max_idle_connections)
+        header_lines = [f"Host: {address}", "Content-Type: application/json"]
+        header_lines += [f"{name}: {value}"
+                         for name, value in (headers or {}).items()]
+        self.headers = "\r\n".join(header_lines)
 
     def call(self, method: str, path: str, timeout_s: float,
-             body: Body | None = None) -> Answer:
-        """Return the answer; raises CallRefused or CallFailed."""
+             body: Body | None = None) -> JsonResponse:
+        """Return the response; raises CallRefused or CallFailed."""
         data = b"" if body is None else msgspec.json.encode(body)
         head = (f"{method} {path} HTTP/1.1\r\n{self.headers}\r\n"
                 f"Content-Length: {len(data)}\r\n\r\n")
-        began = clock.now()
-        response = self.pool.exchange(head.encode() + data, timeout_s)
+        started_at = clock.now()
+        response = self.pool.send(head.encode() + data, timeout_s)
         if "watch" not in path and path.startswith("/-/"):
-            # A waiting watch measures the wait, not the call.
+            # The duration of a watch is mostly its wait for changes.
             metrics.CALLS.record(path.partition("?")[0].split("/")[2],
-                                 clock.now() - began)
-        return Answer(response.status, response.body)
+                                 clock.now() - started_at)
+        return JsonResponse(response.status, response.body)
 
     def close(self) -> None:
-        """Close the connections that are idle."""
+        """Close all idle connections."""
         self.pool.close()
