--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -29,27 +29,27 @@
 from tools import launch  # noqa: E402
 
 ZONES = ("townsville", "cairns", "mackay")
-STEP_SECONDS = 8.0
+WINDOW_S = 8.0
 
 
-class StandingWorker(starts.AnsweringWorker):
+class EndlessTaskWorker(starts.StubWorker):
     """Accept every start and run it for ever; count the bytes spoken."""
 
-    spoken = 0
+    bytes_exchanged = 0
     run_seconds = math.inf
 
     def StartTask(self, request, context):
         reply = super().StartTask(request, context)
-        type(self).spoken += request.ByteSize() + reply.ByteSize()
+        type(self).bytes_exchanged += request.ByteSize() + reply.ByteSize()
         return reply
 
     def Report(self, request, context):
         reply = super().Report(request, context)
-        type(self).spoken += request.ByteSize() + reply.ByteSize()
+        type(self).bytes_exchanged += request.ByteSize() + reply.ByteSize()
         return reply
 
 
-def answer_for(deploy: launch.Deployment) -> list[grpc.Server]:
+def serve_workers(deploy: launch.Deployment) -> list[grpc.Server]:
     """Serve every worker of a deployment from this process."""
     servers = []
     # A held report keeps a thread, so there is more than one a worker.
@@ -57,53 +57,57 @@
         2 * len(deploy.opts.machines))
     for machine in deploy.opts.machines:
         server = grpc.server(pool)
-        pb_grpc.add_WorkerServicer_to_server(StandingWorker({}), server)
+        pb_grpc.add_WorkerServicer_to_server(EndlessTaskWorker({}), server)
         server.add_insecure_port(f"{deploy.opts.host}:{machine.grpc_port}")
         server.start()
         servers.append(server)
     return servers
 
 
-def sample(deploy: launch.Deployment, label: str) -> dict:
+def measure_window(deploy: launch.Deployment, label: str) -> dict:
     """Measure the entry process over one window."""
     pid = deploy.procs["entry-1"].pid
     time.sleep(2.0)
-    cpu, spoken = idle.cpu_seconds(pid), StandingWorker.spoken
-    time.sleep(STEP_SECONDS)
+    cpu, bytes_before = (idle.cpu_seconds(pid),
+                         EndlessTaskWorker.bytes_exchanged)
+    time.sleep(WINDOW_S)
     row = {"step": label, "rss_mb": round(idle.rss_mb(pid), 1),
            "cpu_percent": round(100 * (idle.cpu_seconds(pid) - cpu)
-                                / STEP_SECONDS, 2),
+                                / WINDOW_S, 2),
            "worker_bytes_per_s": round(
-               (StandingWorker.spoken - spoken) / STEP_SECONDS)}
+               (EndlessTaskWorker.bytes_exchanged - bytes_before)
+               / WINDOW_S)}
     print(json.dumps(row), flush=True)
     return row
 
 
-def leg(directory: str, base_port: int, workers: int, tasks: list[int],
-        report: float, lease: float) -> list[dict]:
+def measure_fleet(directory: str, base_port: int, worker_count: int,
+                  task_counts: list[int], report_interval_s: float,
+                  task_lease_s: float) -> list[dict]:
     """Measure one fleet size, idle and with running tasks."""
     os.makedirs(directory)
     timings = yaml.safe_load(settings.sample_text(
         settings.DEFAULT))["timings"]
-    timings.update(report_seconds=report, task_lease_seconds=lease)
+    timings.update(report_seconds=report_interval_s,
+                   task_lease_seconds=task_lease_s)
     deploy = launch.Deployment.from_sample(
         directory, base_port, entries=1, cells=8, quiet_share=0.0,
         timings=timings,
         zones=[{"name": zone, "racks": [{
-            "name": f"{zone[:3]}-r{rack}", "workers": workers // 12}
+            "name": f"{zone[:3]}-r{rack}", "workers": worker_count // 12}
             for rack in range(4)]} for zone in ZONES])
-    servers = answer_for(deploy)
-    out = []
+    servers = serve_workers(deploy)
+    rows = []
     try:
         for role, name in (("kv", ""), ("vm-list", ""),
                            ("entry", "entry-1")):
             deploy.start(role, name)
-        if not deploy.ready():
+        if not deploy.wait_until_ready():
             raise RuntimeError("entry process did not come up")
-        out.append(sample(deploy, f"{workers} workers idle"))
+        rows.append(measure_window(deploy, f"{worker_count} workers idle"))
         submitted = 0
-        for count in tasks:
-            while submitted < count:
+        for task_count in task_counts:
+            while submitted < task_count:
                 status, body = deploy.call(
                     "POST", deploy.url(0) + "/v1/jobs",
                     {"customer": "owners", "work": "fleet-watch",
@@ -117,12 +121,13 @@
             deployment.wait_until(lambda: deploy.call(
                 "GET", deploy.url(0) + "/metrics")[1]["counters"][
                     "batch_started"] >= submitted, 20)
-            out.append(sample(deploy, f"{workers} workers, {count} tasks"))
+            rows.append(measure_window(
+                deploy, f"{worker_count} workers, {task_count} tasks"))
     finally:
         deploy.down()
         for server in servers:
             server.stop(0)
-    return out
+    return rows
 
 
 def main() -> int:
@@ -135,11 +140,12 @@
     args = parser.parse_args()
     results = []
     with tempfile.TemporaryDirectory() as tmp:
-        for number, (workers, tasks) in enumerate(
+        for index, (worker_count, task_counts) in enumerate(
                 ((24, []), (96, []), (240, [500, 1500]))):
-            results += leg(os.path.join(tmp, str(workers)),
-                           args.base_port + number * 1000, workers, tasks,
-                           args.report_seconds, args.task_lease)
+            results += measure_fleet(
+                os.path.join(tmp, str(worker_count)),
+                args.base_port + index * 1000, worker_count, task_counts,
+                args.report_seconds, args.task_lease)
     output.write(args.out, results)
     return 0
 
--- a/bench/chaos.py
+++ b/bench/chaos.py
@@ -19,11 +19,11 @@
 from tools import launch  # noqa: E402
 
 
-SHOWN = 5
+MAX_SHOWN_FINDINGS = 5
 
 
-def play(directory: str, base_port: int, seed: int,
-         args: argparse.Namespace) -> dict:
+def run_round(directory: str, base_port: int, seed: int,
+              args: argparse.Namespace) -> dict:
     """Play one round; return what it showed."""
     shutil.rmtree(directory, ignore_errors=True)
     os.makedirs(directory)
@@ -32,23 +32,23 @@
         load={"seconds": args.seconds, "latency_per_second": 30,
               "batch_jobs": args.batch, "batch_waves": 4,
               "standing_jobs": 2, "cancel_share": 0.1, "seed": seed})
-    out = os.path.join(directory, "report.json")
+    report_path = os.path.join(directory, "report.json")
     try:
         deploy.up()
         plan = faults.Plan(deploy, seed, args.faults, args.seconds)
-        load = subprocess.Popen(deploy.base + [
-            "load", "--settings", deploy.path, "--out", out],
+        load = subprocess.Popen(deploy.command_prefix + [
+            "load", "--settings", deploy.settings_path, "--out", report_path],
             stdout=subprocess.DEVNULL)
         plan.run()
         load.wait(timeout=args.seconds + 240)
     finally:
         deploy.down()
-    with open(out, encoding="utf-8") as handle:
+    with open(report_path, encoding="utf-8") as handle:
         report = json.load(handle)
-    found = [str(f) for f in deploy.check()]
-    found += [f"accepted job {job_id} did not finish: {state}"
-              for job_id, state in report["batch_unfinished"].items()]
-    return {"seed": seed, "faults": plan.done, "findings": found,
+    findings = [str(f) for f in deploy.check()]
+    findings += [f"accepted job {job_id} did not finish: {state}"
+                 for job_id, state in report["batch_unfinished"].items()]
+    return {"seed": seed, "faults": plan.injected, "findings": findings,
             "outcomes": report["outcomes"],
             "batch_finished": report["batch_finished"],
             "batch_cancelled": report["batch_cancelled"],
@@ -68,26 +68,26 @@
     parser.add_argument("--base-port", type=int, default=25400)
     parser.add_argument("--out", default="bench-results/chaos")
     args = parser.parse_args()
-    rounds = []
+    results = []
     for seed in range(args.first_seed, args.first_seed + args.rounds):
         directory = os.path.join(args.out, f"seed-{seed}")
-        shown = play(directory, args.base_port, seed, args)
-        rounds.append(shown)
-        print(f"seed {seed}: {len(shown['findings'])} finding(s), batch "
-              f"{shown['batch_finished']}, cancelled "
-              f"{shown['batch_cancelled']}, evictions {shown['evictions']}, "
-              f"answers {shown['outcomes']}", flush=True)
-        for finding in shown["findings"][:SHOWN]:
+        result = run_round(directory, args.base_port, seed, args)
+        results.append(result)
+        print(f"seed {seed}: {len(result['findings'])} finding(s), batch "
+              f"{result['batch_finished']}, cancelled "
+              f"{result['batch_cancelled']}, evictions {result['evictions']}, "
+              f"answers {result['outcomes']}", flush=True)
+        for finding in result["findings"][:MAX_SHOWN_FINDINGS]:
             print(f"    {finding}", flush=True)
-        if shown["findings"]:
-            for line in shown["faults"]:
+        if result["findings"]:
+            for line in result["faults"]:
                 print(f"    fault {line}", flush=True)
         else:
             shutil.rmtree(directory)
     with open(os.path.join(args.out, f"rounds-{args.first_seed}.json"), "w",
               encoding="utf-8") as handle:
-        json.dump(rounds, handle, indent=1)
-    return 1 if any(r["findings"] for r in rounds) else 0
+        json.dump(results, handle, indent=1)
+    return 1 if any(r["findings"] for r in results) else 0
 
 
 if __name__ == "__main__":
--- a/bench/idle.py
+++ b/bench/idle.py
@@ -16,21 +16,21 @@
 
 from tests import deployment  # noqa: E402
 
-TICKS = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 def cpu_seconds(pid: int) -> float:
     """Return user plus system processor seconds of a process."""
     with open(f"/proc/{pid}/stat", encoding="ascii") as handle:
         fields = handle.read().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
 def rss_mb(pid: int) -> float:
     """Return resident memory of a process in MB."""
     with open(f"/proc/{pid}/statm", encoding="ascii") as handle:
-        return int(handle.read().split()[1]) * PAGE / 1e6
+        return int(handle.read().split()[1]) * PAGE_BYTES / 1e6
 
 
 def main() -> int:
@@ -48,14 +48,14 @@
             before = {n: cpu_seconds(p) for n, p in pids.items()}
             time.sleep(args.seconds)
             after = {n: cpu_seconds(p) for n, p in pids.items()}
-            out = {name: {"cpu_percent": round(100 * (after[name]
-                                                      - before[name])
-                                               / args.seconds, 2),
-                          "rss_mb": round(rss_mb(pid), 1)}
-                   for name, pid in pids.items()}
+            usage = {name: {"cpu_percent": round(100 * (after[name]
+                                                        - before[name])
+                                                 / args.seconds, 2),
+                            "rss_mb": round(rss_mb(pid), 1)}
+                     for name, pid in pids.items()}
         finally:
             deploy.down()
-    print(json.dumps({"window_seconds": args.seconds, "processes": out},
+    print(json.dumps({"window_seconds": args.seconds, "processes": usage},
                      indent=1))
     return 0
 
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -29,11 +29,12 @@
 from sycamorefield import timeline  # noqa: E402
 from tools import launch  # noqa: E402
 
-LEGS = (("unloaded", "guarded", 0), ("ours", "guarded", None),
-        ("earlier", "spread", None), ("naive", "first-fit", None))
+CONFIGURATIONS = (
+    ("unloaded", "guarded", 0), ("ours", "guarded", None),
+    ("earlier", "spread", None), ("naive", "first-fit", None))
 
 
-def stolen_seconds() -> float:
+def steal_seconds() -> float:
     """Return the processor time that the host withheld so far, seconds."""
     with open("/proc/stat", encoding="ascii") as handle:
         fields = handle.readline().split()
@@ -50,7 +51,7 @@
     return dict(causes)
 
 
-def zones(sample: str, workers: int) -> list[dict]:
+def sample_zones(sample: str, workers: int) -> list[dict]:
     """Return a sample's zones, with so many workers in all."""
     raw = yaml.safe_load(settings.sample_text(sample))
     return [{"name": z["name"], "racks": [
@@ -58,114 +59,115 @@
         for z in raw["zones"]]
 
 
-def leg(directory: str, base_port: int, policy: str, batch: int, seed: int,
-        args: argparse.Namespace) -> dict:
+def run_configuration(directory: str, base_port: int, policy: str,
+                      batch: int, seed: int, args: argparse.Namespace
+                      ) -> dict:
     """Run one leg and return the load tool's report."""
     os.makedirs(directory, exist_ok=True)
     deploy = launch.Deployment.from_sample(
         directory, base_port, sample=args.sample,
-        zones=zones(args.sample, args.workers),
+        zones=sample_zones(args.sample, args.workers),
         load={"seconds": args.seconds, "latency_per_second": args.rate,
               "batch_jobs": batch, "batch_waves": 3, "standing_jobs": 2,
               "cancel_share": 0.05, "seed": seed})
     deploy.policy = policy
-    out = os.path.join(directory, "report.json")
-    stolen = stolen_seconds()
+    report_path = os.path.join(directory, "report.json")
+    steal_s = steal_seconds()
     try:
         deploy.up()
-        subprocess.run(deploy.base + ["load", "--settings", deploy.path,
-                                      "--out", out], check=True,
-                       stdout=subprocess.DEVNULL)
+        subprocess.run(deploy.command_prefix + [
+            "load", "--settings", deploy.settings_path,
+            "--out", report_path], check=True, stdout=subprocess.DEVNULL)
     finally:
         deploy.down()
-    with open(out, encoding="utf-8") as handle:
+    with open(report_path, encoding="utf-8") as handle:
         report = json.load(handle)
     lines = timeline.merge(deploy.opts.log_dir)
     report["urgent_start"] = timeline.start_latencies(
         lines, lambda line: line["priority"]).summary().get("urgent", {})
     report["eviction_causes"] = eviction_causes(lines)
-    report["stolen_cpu_seconds"] = round(stolen_seconds() - stolen, 2)
+    report["stolen_cpu_seconds"] = round(steal_seconds() - steal_s, 2)
     report["findings"] = [str(f) for f in checks.check(lines)]
     return report
 
 
-class Figure:
+class Metric:
     """One figure of a leg: its name, how to read it, and its bound."""
 
-    def __init__(self, name: str, read, bound: float | None = None) -> None:
+    def __init__(self, name: str, read, limit: float | None = None) -> None:
         self.name = name
         self.read = read
-        self.bound = bound
+        self.limit = limit
 
-    def over(self, runs: list[dict], name: str) -> list[float]:
+    def values(self, runs: list[dict], configuration: str) -> list[float]:
         """Return the figure of one leg in every run."""
-        return [self.read(run[name]) for run in runs]
+        return [self.read(run[configuration]) for run in runs]
 
 
-def figures(work: str) -> list[Figure]:
+def user_metrics(work: str) -> list[Metric]:
     """Return the figures that the users weigh, for one service."""
     return [
-        Figure(f"{work} p50, ms", lambda r: r["latency"][work]["p50_ms"]),
-        Figure(f"{work} p99, ms", lambda r: r["latency"][work]["p99_ms"]),
-        Figure(f"{work} p99.9, ms",
+        Metric(f"{work} p50, ms", lambda r: r["latency"][work]["p50_ms"]),
+        Metric(f"{work} p99, ms", lambda r: r["latency"][work]["p99_ms"]),
+        Metric(f"{work} p99.9, ms",
                lambda r: r["latency"][work]["p99.9_ms"]),
-        Figure("batch runs a minute", lambda r: r["batch_per_minute"]),
-        Figure("evictions", lambda r: r["evictions"]),
-        Figure("urgent start p99, ms",
+        Metric("batch runs a minute", lambda r: r["batch_per_minute"]),
+        Metric("evictions", lambda r: r["evictions"]),
+        Metric("urgent start p99, ms",
                lambda r: r["urgent_start"].get("p99_ms", 0.0), 1100.0),
-        Figure("stolen processor time, s",
+        Metric("stolen processor time, s",
                lambda r: r["stolen_cpu_seconds"])]
 
 
-def plot(runs: list[dict], shown: list[Figure], path: str) -> None:
+def plot(runs: list[dict], metrics: list[Metric], path: str) -> None:
     """Draw each figure per leg: the median, and the range over the runs."""
     import matplotlib
     matplotlib.use("Agg")
     from matplotlib import pyplot
-    drawn, axes = pyplot.subplots(2, 4, figsize=(17, 8))
-    names = [name for name, _, _ in LEGS]
-    for axis, figure in zip(axes.flat, shown):
-        over = [figure.over(runs, name) for name in names]
-        middle = [statistics.median(values) for values in over]
-        axis.bar(names, middle, color=["grey", "tab:green", "tab:blue",
-                                       "tab:orange"],
-                 yerr=[[m - min(v) for m, v in zip(middle, over)],
-                       [max(v) - m for m, v in zip(middle, over)]])
-        if figure.bound is not None:
-            axis.axhline(figure.bound, color="red")
-        axis.set_title(figure.name)
+    figure, axes = pyplot.subplots(2, 4, figsize=(17, 8))
+    configurations = [name for name, _, _ in CONFIGURATIONS]
+    for axis, metric in zip(axes.flat, metrics):
+        value_lists = [metric.values(runs, name) for name in configurations]
+        medians = [statistics.median(values) for values in value_lists]
+        axis.bar(configurations, medians, color=["grey", "tab:green", "tab:blue",
+                                                 "tab:orange"],
+                 yerr=[[m - min(v) for m, v in zip(medians, value_lists)],
+                       [max(v) - m for m, v in zip(medians, value_lists)]])
+        if metric.limit is not None:
+            axis.axhline(metric.limit, color="red")
+        axis.set_title(metric.name)
     axes.flat[-1].axis("off")
-    drawn.suptitle(f"our policy, the earlier one and the naive one: median "
-                   f"and range of {len(runs)} run(s)")
-    drawn.tight_layout()
-    drawn.savefig(path, dpi=70)
+    figure.suptitle(f"our policy, the earlier one and the naive one: median "
+                    f"and range of {len(runs)} run(s)")
+    figure.tight_layout()
+    figure.savefig(path, dpi=70)
 
 
-def table(runs: list[dict], shown: list[Figure]) -> list[list[str]]:
+def summary_rows(runs: list[dict], metrics: list[Metric]) -> list[list[str]]:
     """Return the figures as rows of text: the median and the range."""
-    rows = [["", *(name for name, _, _ in LEGS)]]
-    for figure in shown:
-        row = [figure.name]
-        for name, _, _ in LEGS:
-            over = figure.over(runs, name)
-            row.append(f"{statistics.median(over):.1f} "
-                       f"({min(over):.1f}-{max(over):.1f})")
+    rows = [["", *(name for name, _, _ in CONFIGURATIONS)]]
+    for metric in metrics:
+        row = [metric.name]
+        for name, _, _ in CONFIGURATIONS:
+            values = metric.values(runs, name)
+            row.append(f"{statistics.median(values):.1f} "
+                       f"({min(values):.1f}-{max(values):.1f})")
         rows.append(row)
     return rows
 
 
 def write_page(runs: list[dict], rows: list[list[str]], sample: str,
-               stem: str) -> None:
+               output_stem: str) -> None:
     """Write the HTML page: the plot, the table and what was found."""
-    with open(stem + ".png", "rb") as handle:
+    with open(output_stem + ".png", "rb") as handle:
         image = base64.b64encode(handle.read()).decode("ascii")
     loader = jinja2.FileSystemLoader(os.path.dirname(__file__))
     template = jinja2.Environment(
         loader=loader, autoescape=True).get_template("policy.html.j2")
-    with open(stem + ".html", "w", encoding="utf-8") as handle:
+    with open(output_stem + ".html", "w", encoding="utf-8") as handle:
         handle.write(template.render(
             runs=runs, rows=rows, sample=sample, image=image,
-            legs=[name for name, _, _ in LEGS]))
+            legs=[name for name, _, _ in CONFIGURATIONS]))
 
 
 def main() -> int:
@@ -182,19 +184,19 @@
     parser.add_argument("--base-port", type=int, default=24400)
     args = parser.parse_args()
     os.makedirs(args.out, exist_ok=True)
-    stem = os.path.join(args.out, "policy-" + args.sample.split(".")[0])
+    output_stem = os.path.join(args.out, "policy-" + args.sample.split(".")[0])
     runs: list[dict] = []
     for seed in range(args.first_seed, args.first_seed + args.runs):
         with tempfile.TemporaryDirectory() as tmp:
-            runs.append({name: leg(
-                os.path.join(tmp, name), args.base_port + number * 1000,
+            runs.append({name: run_configuration(
+                os.path.join(tmp, name), args.base_port + index * 1000,
                 policy, args.batch if batch is None else batch, seed, args)
-                for number, (name, policy, batch) in enumerate(LEGS)})
-        shown = figures(next(iter(runs[0]["unloaded"]["latency"])))
-        rows = table(runs, shown)
-        output.write(stem + ".json", runs)
-        plot(runs, shown, stem + ".png")
-        write_page(runs, rows, args.sample, stem)
+                for index, (name, policy, batch) in enumerate(CONFIGURATIONS)})
+        metrics = user_metrics(next(iter(runs[0]["unloaded"]["latency"])))
+        rows = summary_rows(runs, metrics)
+        output.write(output_stem + ".json", runs)
+        plot(runs, metrics, output_stem + ".png")
+        write_page(runs, rows, args.sample, output_stem)
         print(f"after seed {seed}:")
         for row in rows:
             print("".join(f"{cell:26}" for cell in row).rstrip(), flush=True)
@@ -203,7 +205,8 @@
                   f"{report['eviction_causes']}")
             for finding in report["findings"][:5]:
                 print(f"    {name}: {finding}")
-    print(f"written: {stem}.json, {stem}.png, {stem}.html")
+    print(f"written: {output_stem}.json, {output_stem}.png, "
+          f"{output_stem}.html")
     return 0
 
 
--- a/bench/starts.py
+++ b/bench/starts.py
@@ -36,60 +36,62 @@
 from tests import deployment  # noqa: E402
 
 FLEET_CELLS = 72
-OWN_CELLS = 8
-RUN_SECONDS = 0.3
-WRITES_PER_SECOND = 300
+OWNED_CELLS = 8
+TASK_DURATION_S = 0.3
+MAX_WRITES_PER_S = 300
 
 
-class AnsweringWorker(pb_grpc.WorkerServicer):
+class StubWorker(pb_grpc.WorkerServicer):
     """Accept every start, note when, and report it done soon after."""
 
-    run_seconds = RUN_SECONDS
+    run_seconds = TASK_DURATION_S
 
-    def __init__(self, begun: dict[str, float]) -> None:
-        self.begun = begun
-        self.news = threading.Condition()
-        self.tasks: dict[str, float] = {}
-        self.told: set[str] = set()
+    def __init__(self, job_started_at: dict[str, float]) -> None:
+        self.job_started_at = job_started_at
+        self.changed = threading.Condition()
+        self.task_started_at: dict[str, float] = {}
+        self.reported_ends: set[str] = set()
 
     def StartTask(self, request, context):
         now = time.monotonic()
-        with self.news:
-            self.tasks.setdefault(request.task_id, now)
-            self.news.notify_all()
-        self.begun.setdefault(request.job_id, now)
+        with self.changed:
+            self.task_started_at.setdefault(request.task_id, now)
+            self.changed.notify_all()
+        self.job_started_at.setdefault(request.job_id, now)
         return pb.TaskReply(accepted=True)
 
-    def _ends(self) -> list[float]:
+    def _unreported_ends(self) -> list[float]:
         """Return when the tasks not yet reported as done will be."""
-        return [at + self.run_seconds for task_id, at in self.tasks.items()
-                if task_id not in self.told]
+        return [at + self.run_seconds
+                for task_id, at in self.task_started_at.items()
+                if task_id not in self.reported_ends]
 
-    def _hold(self, seconds: float) -> None:
+    def _wait_for_end(self, timeout_s: float) -> None:
         """Wait until a task has ended, at most so many seconds."""
-        until = time.monotonic() + seconds
-        while (now := time.monotonic()) < until:
-            due = min(self._ends(), default=until)
-            if due <= now:
+        deadline = time.monotonic() + timeout_s
+        while (now := time.monotonic()) < deadline:
+            next_end = min(self._unreported_ends(), default=deadline)
+            if next_end <= now:
                 return
-            self.news.wait(min(due, until) - now)
+            self.changed.wait(min(next_end, deadline) - now)
 
     def Report(self, request, context):
-        with self.news:
+        with self.changed:
             for task_id in request.acknowledged:
-                self.tasks.pop(task_id, None)
-                self.told.discard(task_id)
+                self.task_started_at.pop(task_id, None)
+                self.reported_ends.discard(task_id)
             if request.seen:
-                self._hold(request.wait_ms / 1000.0)
+                self._wait_for_end(request.wait_ms / 1000.0)
             now = time.monotonic()
-            ended = {t for t, at in self.tasks.items()
+            ended = {t for t, at in self.task_started_at.items()
                      if at + self.run_seconds <= now}
-            listed = self.tasks if not request.seen else ended - self.told
+            listed = (self.task_started_at if not request.seen
+                      else ended - self.reported_ends)
             tasks = [pb.TaskStatus(
                 task_id=t, job_id=t.rsplit(".", 1)[0], progress=1.0,
                 state="done" if t in ended else "running")
                 for t in listed]
-            self.told |= ended
+            self.reported_ends |= ended
         return pb.ReportReply(tasks=tasks, fence_seen=request.fence,
                               sequence=1, incarnation=1,
                               full=not request.seen)
@@ -100,50 +102,52 @@
 
     def commit_once(self) -> bool:
         with self.changed:
-            due = sorted((v, j) for j, v in self.versions.items()
-                         if v > self.committed)
-        for version, job_id in due:
+            uncommitted = sorted((v, j) for j, v in self.versions.items()
+                                 if v > self.committed)
+        for version, job_id in uncommitted:
             self.revisions = getattr(self, "revisions", {})
-            swap = self.kv.cas(f"/jobs/{job_id}",
-                               self.revisions.get(job_id, 0),
-                               self.parts[job_id]).value_or(None)
+            result = self.kv.cas(f"/jobs/{job_id}",
+                                 self.revisions.get(job_id, 0),
+                                 self.parts[job_id]).value_or(None)
             self.commits += 1
-            if swap is None or not swap.succeeded:
+            if result is None or not result.succeeded:
                 return False
-            self.revisions[job_id] = swap.revision
+            self.revisions[job_id] = result.revision
             self._settle(version, self.revision)
         return True
 
 
-def machines(count: int, begun: dict[str, float]
-             ) -> tuple[list[options.Machine], list[grpc.Server]]:
+def start_workers(count: int, job_started_at: dict[str, float]
+                  ) -> tuple[list[options.Machine], list[grpc.Server]]:
     """Start answering workers; return them and their servers."""
-    out, servers = [], []
-    for number in range(count):
+    workers, servers = [], []
+    for index in range(count):
         server = grpc.server(concurrent.futures.ThreadPoolExecutor(4))
-        pb_grpc.add_WorkerServicer_to_server(AnsweringWorker(begun), server)
+        pb_grpc.add_WorkerServicer_to_server(StubWorker(job_started_at),
+                                             server)
         port = server.add_insecure_port("127.0.0.1:0")
         server.start()
         servers.append(server)
-        out.append(options.Machine(f"w{number}", "z", "r", port, 0,
-                                   options.Capacity(1e6, 10**9, 0), 10**6))
-    return out, servers
+        workers.append(options.Machine(f"w{index}", "z", "r", port, 0,
+                                       options.Capacity(1e6, 10**9, 0), 10**6))
+    return workers, servers
 
 
-def leg(table_class: type[jobtable.JobTable], rate: int, seconds: float,
-        kv_target: str, opts: options.Options, number: int) -> dict:
+def measure_rate(table_class: type[jobtable.JobTable], rate: int,
+                 load_s: float, kv_target: str, opts: options.Options,
+                 run_number: int) -> dict:
     """Run one rate on one kind of table; return what was measured."""
-    begun: dict[str, float] = {}
-    workers, servers = machines(OWN_CELLS, begun)
+    job_started_at: dict[str, float] = {}
+    workers, servers = start_workers(OWNED_CELLS, job_started_at)
     opts = dataclasses.replace(opts, machines=tuple(workers),
-                               cells=OWN_CELLS)
+                               cells=OWNED_CELLS)
     kv = kvclient.Client(kv_target)
     work = next(w for w in opts.work.values() if w.kind == "batch")
-    pace = FLEET_CELLS / (0.5 * WRITES_PER_SECOND)
+    commit_interval_s = FLEET_CELLS / (0.5 * MAX_WRITES_PER_S)
     cells = []
-    for index in range(OWN_CELLS):
-        table = table_class(kv, number * 100 + index, "entry-1", 1, pace,
-                            5.0)
+    for index in range(OWNED_CELLS):
+        table = table_class(kv, run_number * 100 + index, "entry-1", 1,
+                            commit_interval_s, 5.0)
         cell = cell_mod.Cell(opts, index, 1, table, strategy.named("guarded"),
                              "entry-1", lambda: True, cell_mod.Counters())
         threading.Thread(target=cell.run, daemon=True).start()
@@ -151,35 +155,36 @@
     time.sleep(1.5)
     writes = sum(c.table.commits for c in cells)
     cpu = time.process_time()
-    began = time.monotonic()
-    staged: dict[str, float] = {}
+    load_started_at = time.monotonic()
+    staged_at: dict[str, float] = {}
     count = 0
-    while time.monotonic() - began < seconds:
-        while count < (time.monotonic() - began) * rate:
-            job_id = f"{number}-{count}"
-            cell = cells[count % OWN_CELLS]
-            staged[job_id] = time.monotonic()
+    while time.monotonic() - load_started_at < load_s:
+        while count < (time.monotonic() - load_started_at) * rate:
+            job_id = f"{run_number}-{count}"
+            cell = cells[count % OWNED_CELLS]
+            staged_at[job_id] = time.monotonic()
             cell.table.stage(jobtable.new_record(job_id, "owners", work,
                                                  "urgent"))
             cell.wake.set()
             count += 1
         time.sleep(0.005)
-    elapsed = time.monotonic() - began
+    elapsed = time.monotonic() - load_started_at
     cpu = (time.process_time() - cpu) / elapsed
     writes = sum(c.table.commits for c in cells) - writes
-    in_time = sum(1 for at in begun.values() if at <= began + elapsed)
-    deployment.wait_until(lambda: len(begun) >= count, 5.0)
+    started_in_time = sum(1 for at in job_started_at.values()
+                          if at <= load_started_at + elapsed)
+    deployment.wait_until(lambda: len(job_started_at) >= count, 5.0)
     latencies = metrics.Latencies()
-    for job_id, at in begun.items():
-        latencies.record("start", at - staged[job_id])
+    for job_id, at in job_started_at.items():
+        latencies.record("start", at - staged_at[job_id])
     for cell in cells:
         cell.stop(flush=False)
     for server in servers:
         server.stop(0)
     summary = latencies.summary().get("start", {})
     return {"table": table_class.__name__, "asked_per_s": rate,
-            "started_per_s": round(in_time / elapsed, 1),
-            "unstarted_5s_later": count - len(begun),
+            "started_per_s": round(started_in_time / elapsed, 1),
+            "unstarted_5s_later": count - len(job_started_at),
             "p50_ms": summary.get("p50_ms"), "p99_ms": summary.get("p99_ms"),
             "writes_per_s": round(writes / elapsed, 1),
             "cpu_percent": round(100 * cpu, 1)}
@@ -206,8 +211,9 @@
             time.sleep(1.5)
             for rate in map(int, args.rates.split(",")):
                 for table_class in (jobtable.JobTable, SingleWrites):
-                    results.append(leg(table_class, rate, args.seconds,
-                                       opts.kv_target, opts, len(results)))
+                    results.append(measure_rate(
+                        table_class, rate, args.seconds, opts.kv_target,
+                        opts, len(results)))
                     print(json.dumps(results[-1]), flush=True)
         finally:
             store.terminate()
--- a/bench/teams.py
+++ b/bench/teams.py
@@ -24,13 +24,13 @@
 from tests import deployment  # noqa: E402
 from tools import launch  # noqa: E402
 
-TEAMS = 140
+TEAM_COUNT = 140
 QUOTA_CPUS = 60.0
-FLOOD = "team-000"
-FLOOD_JOBS = 300
-OTHERS_SECONDS = 10.0
-CALLERS = 8
-SETTLE_SECONDS = 60.0
+FLOODING_TEAM = "team-000"
+FLOOD_JOB_COUNT = 300
+OTHERS_PERIOD_S = 10.0
+CLIENT_THREADS = 8
+FINISH_TIMEOUT_S = 60.0
 
 
 def submit(deploy: launch.Deployment, team: str, number: int) -> bool:
@@ -47,15 +47,15 @@
     return False
 
 
-def drive(deploy: launch.Deployment, teams: list[str]) -> int:
+def submit_all(deploy: launch.Deployment, teams: list[str]) -> int:
     """Submit the flood, then the other teams' jobs; return the accepted."""
-    with concurrent.futures.ThreadPoolExecutor(CALLERS) as pool:
-        jobs = [pool.submit(submit, deploy, FLOOD, n)
-                for n in range(FLOOD_JOBS)]
+    with concurrent.futures.ThreadPoolExecutor(CLIENT_THREADS) as pool:
+        jobs = [pool.submit(submit, deploy, FLOODING_TEAM, n)
+                for n in range(FLOOD_JOB_COUNT)]
         began = time.monotonic()
-        others = [team for team in teams if team != FLOOD]
+        others = [team for team in teams if team != FLOODING_TEAM]
         for number, team in enumerate(others):
-            due = began + number * OTHERS_SECONDS / len(others)
+            due = began + number * OTHERS_PERIOD_S / len(others)
             time.sleep(max(0.0, due - time.monotonic()))
             jobs.append(pool.submit(submit, deploy, team, number))
     return sum(job.result() for job in jobs)
@@ -66,53 +66,58 @@
     return job.split(".")[0]
 
 
-def peak_cpus(spans: list[checks.Interval], each: float) -> dict[str, float]:
+def peak_cpus(intervals: list[checks.Interval], cpus_per_task: float
+              ) -> dict[str, float]:
     """Return the most processors that each team held at once."""
-    changes = sorted([(s.began, each, s.job) for s in spans]
-                     + [(s.ended, -each, s.job) for s in spans if s.ended])
-    now: dict[str, float] = {}
+    changes = sorted([(s.began, cpus_per_task, s.job) for s in intervals]
+                     + [(s.ended, -cpus_per_task, s.job)
+                        for s in intervals if s.ended])
+    in_use: dict[str, float] = {}
     peak: dict[str, float] = {}
     for _, change, job in changes:
         team = team_of(job)
-        now[team] = now.get(team, 0.0) + change
-        peak[team] = max(peak.get(team, 0.0), now[team])
+        in_use[team] = in_use.get(team, 0.0) + change
+        peak[team] = max(peak.get(team, 0.0), in_use[team])
     return peak
 
 
-def group(line: dict) -> str:
+def flood_or_others(line: dict) -> str:
     """Return whether an accepted job is of the flood or of the others."""
-    return "flood" if team_of(line["job"]) == FLOOD else "others"
+    return "flood" if team_of(line["job"]) == FLOODING_TEAM else "others"
 
 
-def leg(directory: str, base_port: int, quota: float | None) -> dict:
+def run_configuration(directory: str, base_port: int, quota_cpus: float | None
+                      ) -> dict:
     """Run one leg; return what it showed."""
     os.makedirs(directory)
-    teams = [f"team-{number:03}" for number in range(TEAMS)]
+    teams = [f"team-{number:03}" for number in range(TEAM_COUNT)]
     deploy = launch.Deployment.from_sample(
-        directory, base_port, zones=policy.zones("coral-sea.yaml", 30),
+        directory, base_port, zones=policy.sample_zones("coral-sea.yaml", 30),
         customers=teams, rules=[{
             "name": "all-low", "when": {"kind": "batch"},
             "then": {"action": "admit", "priority": "low"}}],
-        quotas={team: quota for team in teams} if quota else {})
-    stolen = policy.stolen_seconds()
+        quotas={team: quota_cpus for team in teams} if quota_cpus else {})
+    steal_s = policy.steal_seconds()
     try:
         deploy.up()
-        accepted = drive(deploy, teams)
+        accepted = submit_all(deploy, teams)
         deployment.wait_until(lambda: sum(
             deploy.call("GET", deploy.url(n) + "/metrics")[1]["counters"][
                 "batch_finished"] for n in range(len(deploy.opts.entries)))
-            >= accepted, SETTLE_SECONDS)
+            >= accepted, FINISH_TIMEOUT_S)
     finally:
         deploy.down()
     lines = timeline.merge(deploy.opts.log_dir)
-    spans = checks.intervals(lines)
-    each = deploy.opts.work["class-renewal"].demand.cpus
-    return {"quota_cpus": quota, "accepted": accepted,
-            "finished": sum(1 for s in spans if s.state == "done"),
-            "waits": timeline.start_latencies(lines, group).summary(),
-            "flood_peak_cpus": peak_cpus(spans, each).get(FLOOD, 0.0),
+    intervals = checks.intervals(lines)
+    cpus_per_task = deploy.opts.work["class-renewal"].demand.cpus
+    return {"quota_cpus": quota_cpus, "accepted": accepted,
+            "finished": sum(1 for s in intervals if s.state == "done"),
+            "waits": timeline.start_latencies(lines,
+                                              flood_or_others).summary(),
+            "flood_peak_cpus": peak_cpus(intervals, cpus_per_task).get(
+                FLOODING_TEAM, 0.0),
             "findings": [str(f) for f in checks.check(lines)],
-            "stolen_cpu_seconds": round(policy.stolen_seconds() - stolen, 2)}
+            "stolen_cpu_seconds": round(policy.steal_seconds() - steal_s, 2)}
 
 
 def main() -> int:
@@ -123,10 +128,10 @@
     args = parser.parse_args()
     results = {}
     with tempfile.TemporaryDirectory() as tmp:
-        for number, (name, quota) in enumerate(
+        for index, (name, quota) in enumerate(
                 (("quotas", QUOTA_CPUS), ("naive", None))):
-            results[name] = leg(os.path.join(tmp, name),
-                                args.base_port + number * 1000, quota)
+            results[name] = run_configuration(
+                os.path.join(tmp, name), args.base_port + index * 1000, quota)
             print(name, json.dumps(results[name]), flush=True)
     output.write(args.out, results)
     return 0
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -16,10 +16,10 @@
 PLANS = [
     # seed, faults, seconds, kinds: seed 3 holds a store outage while batch
     # tasks finish, and an entry process frozen past its lease.
-    (3, 6, 12.0, faults.Plan.FIRST_KINDS),
+    (3, 6, 12.0, faults.Plan.BASIC_KINDS),
     # Seed 1 loses a worker for good while an entry process is stopped, one
     # is killed and the store is down, then slow.
-    (1, 6, 15.0, faults.Plan.KINDS),
+    (1, 6, 15.0, faults.Plan.EXTENDED_KINDS),
 ]
 
 
@@ -41,8 +41,9 @@
     try:
         deploy.up()
         plan = faults.Plan(deploy, seed, count, seconds, kinds)
-        load = subprocess.Popen(deploy.base + [
-            "load", "--settings", deploy.path, "--seconds", str(seconds)],
+        load = subprocess.Popen(deploy.command_prefix + [
+            "load", "--settings", deploy.settings_path,
+            "--seconds", str(seconds)],
             stdout=subprocess.PIPE, text=True)
         plan.run()
         out, _ = load.communicate(timeout=seconds + 120)
--- a/tools/known_red.py
+++ b/tools/known_red.py
@@ -8,18 +8,18 @@
 import subprocess
 import sys
 
-LIMIT = 3
-PATH = os.path.join(os.path.dirname(__file__), "..", "KNOWN-RED.txt")
+MAX_ENTRIES = 3
+KNOWN_RED_PATH = os.path.join(os.path.dirname(__file__), "..", "KNOWN-RED.txt")
 
 
-def known_red() -> list[str]:
+def read_known_red() -> list[str]:
     """Return the listed test ids; exit 2 when more than three are listed."""
-    if not os.path.exists(PATH):
+    if not os.path.exists(KNOWN_RED_PATH):
         return []
-    with open(PATH, encoding="utf-8") as handle:
+    with open(KNOWN_RED_PATH, encoding="utf-8") as handle:
         lines = [line.strip() for line in handle if line.strip()]
-    if len(lines) > LIMIT:
-        print(f"KNOWN-RED.txt lists {len(lines)} tests; {LIMIT} at most")
+    if len(lines) > MAX_ENTRIES:
+        print(f"KNOWN-RED.txt lists {len(lines)} tests; {MAX_ENTRIES} at most")
         sys.exit(2)
     for line in lines:
         print(f"known red, passed over: {line}")
@@ -28,10 +28,10 @@
 
 def main() -> int:
     """Run the given pytest command with the known-red tests deselected."""
-    argv = sys.argv[1:]
-    for test_id in known_red():
-        argv += ["--deselect", test_id]
-    return subprocess.call(argv)
+    command = sys.argv[1:]
+    for test_id in read_known_red():
+        command += ["--deselect", test_id]
+    return subprocess.call(command)
 
 
 if __name__ == "__main__":
--- a/tools/launch.py
+++ b/tools/launch.py
@@ -29,13 +29,13 @@
 from sycamorefield import worker  # noqa: E402
 from tools import faults  # noqa: E402
 
-READY_SECONDS = 30.0
+READY_TIMEOUT_S = 30.0
 # How often workers are looked for that a task has crashed.
-CRASHED_PERIOD = 1.0
-STOP_SECONDS = 10.0
+CRASH_CHECK_PERIOD_S = 1.0
+STOP_TIMEOUT_S = 10.0
 
 
-def command(binary: str | None) -> list[str]:
+def binary_command(binary: str | None) -> list[str]:
     """Return the argv prefix that runs the one binary."""
     if binary:
         return [sys.executable, binary]
@@ -47,9 +47,9 @@
 
     def __init__(self, settings_path: str, binary: str | None = None,
                  policy: str = "guarded") -> None:
-        self.path = settings_path
+        self.settings_path = settings_path
         self.opts = settings.load(settings_path).unwrap()
-        self.base = command(binary)
+        self.command_prefix = binary_command(binary)
         self.policy = policy
         self.procs: dict[str, subprocess.Popen] = {}
         self.http = urllib3.PoolManager()
@@ -60,15 +60,15 @@
     @classmethod
     def from_sample(cls, directory: str, base_port: int,
                     sample: str = settings.DEFAULT,
-                    **changes: object) -> "Deployment":
+                    **overrides: object) -> "Deployment":
         """Write a sample's settings with its own ports and log dir."""
-        raw = yaml.safe_load(settings.sample_text(sample))
-        raw["base_port"] = base_port
-        raw["log_dir"] = os.path.join(directory, "logs")
-        raw.update(changes)
+        values = yaml.safe_load(settings.sample_text(sample))
+        values["base_port"] = base_port
+        values["log_dir"] = os.path.join(directory, "logs")
+        values.update(overrides)
         path = os.path.join(directory, "settings.yaml")
         with open(path, "w", encoding="utf-8") as handle:
-            yaml.safe_dump(raw, handle)
+            yaml.safe_dump(values, handle)
         return cls(path)
 
     def start(self, role: str, name: str = "") -> None:
@@ -80,27 +80,28 @@
                 self._spawn(role, name, label)
 
     def _spawn(self, role: str, name: str, label: str) -> None:
-        argv = self.base + [role] + ([name] if name else []) + [
-            "--settings", self.path]
+        argv = self.command_prefix + [role] + ([name] if name else []) + [
+            "--settings", self.settings_path]
         if role == "entry":
             argv += ["--policy", self.policy]
-        err = open(os.path.join(self.opts.log_dir, label + ".stderr"), "a")
+        stderr_file = open(
+            os.path.join(self.opts.log_dir, label + ".stderr"), "a")
         self.procs[label] = subprocess.Popen(
-            argv, stdout=subprocess.DEVNULL, stderr=err)
+            argv, stdout=subprocess.DEVNULL, stderr=stderr_file)
 
-    def wait_for_end(self, label: str) -> bool:
+    def wait_for_exit(self, label: str) -> bool:
         """Wait until a process has ended; False if it takes too long."""
         try:
-            self.procs[label].wait(timeout=STOP_SECONDS)
+            self.procs[label].wait(timeout=STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             return False
         return True
 
-    def signal(self, label: str, number: int) -> None:
+    def signal(self, label: str, signal_number: int) -> None:
         """Send a signal to one process."""
         proc = self.procs[label]
         if proc.poll() is None:
-            proc.send_signal(number)
+            proc.send_signal(signal_number)
 
     def up(self) -> None:
         """Start every process and wait until every worker is owned."""
@@ -112,21 +113,21 @@
         for spec in self.opts.entries:
             self.start("entry", spec.name)
         threading.Thread(target=self._restart_crashed, daemon=True).start()
-        if not self.ready():
+        if not self.wait_until_ready():
             raise RuntimeError("deployment did not come up; see "
                                + self.opts.log_dir)
 
     def _restart_crashed(self) -> None:
         """Start workers again whose process a task has ended."""
-        while not self.stopping.wait(CRASHED_PERIOD):
+        while not self.stopping.wait(CRASH_CHECK_PERIOD_S):
             for machine in self.opts.machines:
                 proc = self.procs[machine.name]
                 if proc.poll() == worker.CRASH_STATUS:
                     self.start("worker", machine.name)
 
-    def ready(self) -> bool:
+    def wait_until_ready(self) -> bool:
         """Wait until all entries know each other and own every worker."""
-        deadline = time.monotonic() + READY_SECONDS
+        deadline = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < deadline:
             owned: set[str] = set()
             answered = 0
@@ -142,9 +143,9 @@
             time.sleep(0.2)
         return False
 
-    def url(self, entry: int = 0) -> str:
+    def url(self, entry_index: int = 0) -> str:
         """Return the base URL of an entry process."""
-        spec = self.opts.entries[entry]
+        spec = self.opts.entries[entry_index]
         return f"http://{self.opts.host}:{spec.http_port}"
 
     def call(self, method: str, url: str, body: object = None,
@@ -169,7 +170,7 @@
                 proc.send_signal(signal.SIGTERM)
         for proc in self.procs.values():
             try:
-                proc.wait(timeout=STOP_SECONDS)
+                proc.wait(timeout=STOP_TIMEOUT_S)
             except subprocess.TimeoutExpired:
                 proc.kill()
                 proc.wait()
@@ -192,40 +193,40 @@
                         help="number of seeded faults during the load")
     parser.add_argument("--seed", type=int, default=1)
     args = parser.parse_args()
-    loaded = settings.load(args.settings)
-    if not isinstance(loaded, settings.result.Success):
-        for finding in loaded.failure():
+    load_result = settings.load(args.settings)
+    if not isinstance(load_result, settings.result.Success):
+        for finding in load_result.failure():
             print(finding, file=sys.stderr)
         return 2
-    shutil.rmtree(loaded.unwrap().log_dir, ignore_errors=True)
+    shutil.rmtree(load_result.unwrap().log_dir, ignore_errors=True)
     deploy = Deployment(args.settings, args.binary, args.policy)
-    seconds = args.seconds or deploy.opts.load.seconds
-    code = 0
+    duration_s = args.seconds or deploy.opts.load.seconds
+    exit_code = 0
     try:
         deploy.up()
-        plan = faults.Plan(deploy, args.seed, args.faults, seconds,
+        plan = faults.Plan(deploy, args.seed, args.faults, duration_s,
                            faults.Plan.ALL_KINDS)
         injector = threading.Thread(target=plan.run, daemon=True)
         injector.start()
-        load = subprocess.run(deploy.base + ["load", "--settings",
-                                             deploy.path,
-                                             "--seconds", str(seconds)]
+        load = subprocess.run(deploy.command_prefix
+                              + ["load", "--settings", deploy.settings_path,
+                                 "--seconds", str(duration_s)]
                               + (["--out", args.report] if args.report
                                  else []))
         injector.join(timeout=30)
-        code = load.returncode
-        for line in plan.done:
+        exit_code = load.returncode
+        for line in plan.injected:
             print(f"  fault: {line}")
     finally:
         deploy.down()
-    path = os.path.join(deploy.opts.log_dir, "..", "timeline.jsonl")
-    timeline.write(timeline.merge(deploy.opts.log_dir), path)
-    print(f"  time line: {os.path.normpath(path)}")
+    timeline_path = os.path.join(deploy.opts.log_dir, "..", "timeline.jsonl")
+    timeline.write(timeline.merge(deploy.opts.log_dir), timeline_path)
+    print(f"  time line: {os.path.normpath(timeline_path)}")
     findings = deploy.check()
     print(f"  invariants: {len(findings)} finding(s)")
     for finding in findings:
         print(f"    {finding}")
-    return code or (1 if findings else 0)
+    return exit_code or (1 if findings else 0)
 
 
 if __name__ == "__main__":
