--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,9 +1,10 @@
-"""Measure the slopes that docs/CAPACITY.md is worked out from.
+"""Measure what each worker and each task costs an entry process.
 
-One entry process, the key-value stand-in and the VM list run as processes;
-this process answers for every worker.  Legs with more and more workers,
-then with more and more running tasks, give memory, processor time and
-key-value calls per worker and per task.  Prints JSON.
+One entry process, the key-value stand-in and the VM list stand-in run as
+processes; this process serves the RPCs of every worker.  Memory, processor
+time and bytes exchanged with workers are measured at increasing numbers of
+workers, and then of running tasks.  docs/CAPACITY.md derives the cost per
+worker and per task from the differences.  Prints JSON.
 """
 
 import argparse
@@ -33,7 +34,7 @@
 
 
 class EndlessTaskWorker(starts.StubWorker):
-    """Accept every start and run it for ever; count the bytes spoken."""
+    """A stub worker whose tasks never end and that counts bytes."""
 
     bytes_exchanged = 0
     run_seconds = math.inf
@@ -50,9 +51,10 @@
 
 
 def serve_workers(deploy: launch.Deployment) -> list[grpc.Server]:
-    """Serve every worker of a deployment from this process."""
+    """Serve the RPCs of every worker of a deployment from this process."""
     servers = []
-    # A held report keeps a thread, so there is more than one a worker.
+    # A Report call that waits for a task to end blocks one thread, so each
+    # worker needs another one to accept starts.
     pool = concurrent.futures.ThreadPoolExecutor(
         2 * len(deploy.opts.machines))
     for machine in deploy.opts.machines:
@@ -65,7 +67,7 @@
 
 
 def measure_window(deploy: launch.Deployment, label: str) -> dict:
-    """Measure the entry process over one window."""
+    """Measure the entry process for WINDOW_S and print the result."""
     pid = deploy.procs["entry-1"].pid
     time.sleep(2.0)
     cpu, bytes_before = (idle.cpu_seconds(pid),
@@ -84,7 +86,10 @@
 def measure_fleet(directory: str, base_port: int, worker_count: int,
                   task_counts: list[int], report_interval_s: float,
                   task_lease_s: float) -> list[dict]:
-    """Measure one fleet size, idle and with running tasks."""
+    """Measure a fleet of one size, idle and with running tasks.
+
+    task_counts are the increasing numbers of tasks to measure.
+    """
     os.makedirs(directory)
     timings = yaml.safe_load(settings.sample_text(
         settings.DEFAULT))["timings"]
@@ -103,7 +108,8 @@
                            ("entry", "entry-1")):
             deploy.start(role, name)
         if not deploy.wait_until_ready():
-            raise RuntimeError("entry process did not come up")
+            raise RuntimeError(
+                "the entry process is not ready or a worker has no owner")
         rows.append(measure_window(deploy, f"{worker_count} workers idle"))
         submitted = 0
         for task_count in task_counts:
@@ -117,7 +123,7 @@
                 elif status == 503:
                     time.sleep(1.0)
                 else:
-                    raise RuntimeError(f"not accepted: {body}")
+                    raise RuntimeError(f"job was not accepted: {body}")
             deployment.wait_until(lambda: deploy.call(
                 "GET", deploy.url(0) + "/metrics")[1]["counters"][
                     "batch_started"] >= submitted, 20)
@@ -131,7 +137,7 @@
 
 
 def main() -> int:
-    """Measure every leg and print it."""
+    """Measure every fleet size; print and write the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--base-port", type=int, default=20400)
     parser.add_argument("--report-seconds", type=float, default=0.5)
--- a/bench/chaos.py
+++ b/bench/chaos.py
@@ -1,9 +1,9 @@
-"""Run many seeded fault plans against the local deployment.
+"""Run many seeded fault plans against a local deployment.
 
-Each round brings the deployment up, drives its load with a plan of random
-faults, waits for every batch job, stops it as planned, and checks the
-merged time line against what must always hold.  Prints a line per round;
-writes JSON; keeps the logs of rounds with findings.
+Each round starts the deployment, runs the load while a plan of random faults
+is injected, waits for every batch job, stops the deployment with SIGTERM,
+and checks the merged time line against the invariants.  Prints a summary of
+each round, writes JSON and keeps the logs of rounds with findings.
 """
 
 import argparse
@@ -24,7 +24,7 @@
 
 def run_round(directory: str, base_port: int, seed: int,
               args: argparse.Namespace) -> dict:
-    """Play one round; return what it showed."""
+    """Run one round; return its findings and counts."""
     shutil.rmtree(directory, ignore_errors=True)
     os.makedirs(directory)
     deploy = launch.Deployment.from_sample(
@@ -56,7 +56,7 @@
 
 
 def main() -> int:
-    """Play the rounds; return 1 when any has a finding."""
+    """Run the rounds; return 1 if any has a finding."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--first-seed", type=int, default=1)
     parser.add_argument("--rounds", type=int, default=10)
--- a/bench/idle.py
+++ b/bench/idle.py
@@ -1,8 +1,8 @@
-"""Measure one idle entry process: resident memory and processor time.
+"""Measure the memory and processor time of idle processes.
 
-Brings up the embedded deployment (or --settings), waits until every worker
-is owned, then samples each entry process's /proc counters over a window
-with no load.  Prints JSON.
+Starts a deployment of the default sample settings, waits until every worker
+is owned, then reads the /proc counters of each process at the start and the
+end of a window without load.  Prints JSON.
 """
 
 import argparse
@@ -21,20 +21,20 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return user plus system processor seconds of a process."""
+    """Return the user and system processor time of a process."""
     with open(f"/proc/{pid}/stat", encoding="ascii") as handle:
         fields = handle.read().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
 def rss_mb(pid: int) -> float:
-    """Return resident memory of a process in MB."""
+    """Return the resident memory of a process."""
     with open(f"/proc/{pid}/statm", encoding="ascii") as handle:
         return int(handle.read().split()[1]) * PAGE_BYTES / 1e6
 
 
 def main() -> int:
-    """Run the measurement and print it."""
+    """Run the measurement and print the result."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=10.0)
     parser.add_argument("--base-port", type=int, default=23400)
--- a/bench/placement_speed.py
+++ b/bench/placement_speed.py
@@ -1,4 +1,4 @@
-"""Time one placement decision over 5,500 modelled workers."""
+"""Measure the latency of a placement decision among 5,500 workers."""
 
 import os
 import random
@@ -17,7 +17,10 @@
 
 def simulated_workers(rng: random.Random, nearly_full: bool
                       ) -> list[placement.Candidate]:
-    """Return modelled workers; crowded leaves room on one in a thousand."""
+    """Return simulated workers with random use of their resources.
+
+    If nearly_full, the task of main() fits on one worker in a thousand.
+    """
     capacity = options.Capacity(30, 125000, 0)
     workers = []
     for number in range(WORKER_COUNT):
@@ -31,7 +34,7 @@
 
 
 def main() -> int:
-    """Print p50/p99 of one decision for each policy."""
+    """Print the p50 and p99 latency of a decision for each policy."""
     work = options.Work("class-renewal", "batch", noise=0.6,
                         demand=options.Capacity(6, 24000, 0))
     for nearly_full in (False, True):
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -1,10 +1,12 @@
-"""Compare our policy with the naive version of our own, in one run.
-
-Four legs on the same seeded load at today's fleet size: latency-critical
-requests alone (the unloaded tail), then a batch flood in three waves, with
-cancellations and run times far off, under our policy, under the policy of
-earlier versions and under the naive version.  Repeated with other seeds;
-writes JSON, a plot and an HTML page.
+"""Compare the placement policies under the same load.
+
+Four configurations are run.  The first has latency-critical requests alone,
+which gives the tail latency without batch load.  The others add a flood of
+batch jobs in three waves, with cancellations and inaccurate run time
+estimates, under the guarded policy ("ours"), the spread policy of earlier
+versions ("earlier") and first fit as a baseline ("naive").  All use the same
+seed and, by default, today's fleet size of 30 workers.  Repeated with other
+seeds; writes JSON, a plot and an HTML page.
 """
 
 import argparse
@@ -29,20 +31,21 @@
 from sycamorefield import timeline  # noqa: E402
 from tools import launch  # noqa: E402
 
+# Name, placement policy and number of batch jobs (None: that of --batch).
 CONFIGURATIONS = (
     ("unloaded", "guarded", 0), ("ours", "guarded", None),
     ("earlier", "spread", None), ("naive", "first-fit", None))
 
 
 def steal_seconds() -> float:
-    """Return the processor time that the host withheld so far, seconds."""
+    """Return the processor time stolen by the hypervisor since boot."""
     with open("/proc/stat", encoding="ascii") as handle:
         fields = handle.readline().split()
     return int(fields[8]) / os.sysconf("SC_CLK_TCK")
 
 
 def eviction_causes(lines: list[dict]) -> dict[str, int]:
-    """Count evictions by how the task ended, and lost workers."""
+    """Count evictions by the final state of the task, and lost workers."""
     causes = collections.Counter(
         line["state"] for line in lines
         if line.get("event") == events.TASK_EVICTED.code)
@@ -52,7 +55,10 @@
 
 
 def sample_zones(sample: str, workers: int) -> list[dict]:
-    """Return a sample's zones, with so many workers in all."""
+    """Return the zones of a sample with the given total of workers.
+
+    Each zone keeps its first rack only.  The sample must have three zones.
+    """
     raw = yaml.safe_load(settings.sample_text(sample))
     return [{"name": z["name"], "racks": [
         {"name": z["racks"][0]["name"], "workers": workers // 3}]}
@@ -62,7 +68,7 @@
 def run_configuration(directory: str, base_port: int, policy: str,
                       batch: int, seed: int, args: argparse.Namespace
                       ) -> dict:
-    """Run one leg and return the load tool's report."""
+    """Run one configuration; return the extended report of the load."""
     os.makedirs(directory, exist_ok=True)
     deploy = launch.Deployment.from_sample(
         directory, base_port, sample=args.sample,
@@ -92,7 +98,7 @@
 
 
 class Metric:
-    """One figure of a leg: its name, how to read it, and its bound."""
+    """A metric: its name, the function that reads it, and its limit."""
 
     def __init__(self, name: str, read, limit: float | None = None) -> None:
         self.name = name
@@ -100,12 +106,12 @@
         self.limit = limit
 
     def values(self, runs: list[dict], configuration: str) -> list[float]:
-        """Return the figure of one leg in every run."""
+        """Return the metric of one configuration in every run."""
         return [self.read(run[configuration]) for run in runs]
 
 
 def user_metrics(work: str) -> list[Metric]:
-    """Return the figures that the users weigh, for one service."""
+    """Return the metrics that users compare, with latency of one service."""
     return [
         Metric(f"{work} p50, ms", lambda r: r["latency"][work]["p50_ms"]),
         Metric(f"{work} p99, ms", lambda r: r["latency"][work]["p99_ms"]),
@@ -120,7 +126,7 @@
 
 
 def plot(runs: list[dict], metrics: list[Metric], path: str) -> None:
-    """Draw each figure per leg: the median, and the range over the runs."""
+    """Plot the median and the range of each metric by configuration."""
     import matplotlib
     matplotlib.use("Agg")
     from matplotlib import pyplot
@@ -129,8 +135,8 @@
     for axis, metric in zip(axes.flat, metrics):
         value_lists = [metric.values(runs, name) for name in configurations]
         medians = [statistics.median(values) for values in value_lists]
-        axis.bar(configurations, medians, color=["grey", "tab:green", "tab:blue",
-                                                 "tab:orange"],
+        axis.bar(configurations, medians,
+                 color=["grey", "tab:green", "tab:blue", "tab:orange"],
                  yerr=[[m - min(v) for m, v in zip(medians, value_lists)],
                        [max(v) - m for m, v in zip(medians, value_lists)]])
         if metric.limit is not None:
@@ -144,7 +150,7 @@
 
 
 def summary_rows(runs: list[dict], metrics: list[Metric]) -> list[list[str]]:
-    """Return the figures as rows of text: the median and the range."""
+    """Return the median and the range of each metric as rows of text."""
     rows = [["", *(name for name, _, _ in CONFIGURATIONS)]]
     for metric in metrics:
         row = [metric.name]
@@ -158,7 +164,7 @@
 
 def write_page(runs: list[dict], rows: list[list[str]], sample: str,
                output_stem: str) -> None:
-    """Write the HTML page: the plot, the table and what was found."""
+    """Write the HTML page with the plot, the table and the findings."""
     with open(output_stem + ".png", "rb") as handle:
         image = base64.b64encode(handle.read()).decode("ascii")
     loader = jinja2.FileSystemLoader(os.path.dirname(__file__))
@@ -171,7 +177,7 @@
 
 
 def main() -> int:
-    """Run the legs and write the results."""
+    """Run the configurations with each seed and write the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=15.0)
     parser.add_argument("--batch", type=int, default=300)
--- a/bench/starts.py
+++ b/bench/starts.py
@@ -1,11 +1,11 @@
-"""Measure task starts per second against the store's write budget.
-
-One entry process's cells run in this process over stand-in workers that
-only answer; the key-value stand-in (its own process, limited as the
-platform is) counts every write.  Two legs per rate: group commit, and the
-naive version of our own that writes each change by itself (what versions
-before the cells did).  Prints start latency (staged to worker asked),
-writes and processor time per second; writes JSON.
+"""Measure task starts per second under the write limit of the store.
+
+The cells of one entry process run in this process, with stub workers.  The
+key-value stand-in runs as a process of its own and limits the writes per
+second as the platform does.  Each rate is measured with group commit and
+with a baseline that writes each changed job by itself.  Prints the start
+latency (from staging a job to the start request at its worker), writes per
+second and processor use; writes JSON.
 """
 
 import argparse
@@ -42,7 +42,11 @@
 
 
 class StubWorker(pb_grpc.WorkerServicer):
-    """Accept every start, note when, and report it done soon after."""
+    """A worker that accepts every start and reports it done on time.
+
+    A task ends run_seconds after its start.
+    job_started_at gets the time of the first start request of each job.
+    """
 
     run_seconds = TASK_DURATION_S
 
@@ -61,13 +65,13 @@
         return pb.TaskReply(accepted=True)
 
     def _unreported_ends(self) -> list[float]:
-        """Return when the tasks not yet reported as done will be."""
+        """Return the end times of tasks not yet reported as done."""
         return [at + self.run_seconds
                 for task_id, at in self.task_started_at.items()
                 if task_id not in self.reported_ends]
 
     def _wait_for_end(self, timeout_s: float) -> None:
-        """Wait until a task has ended, at most so many seconds."""
+        """Wait for a task to end, at most for the given time."""
         deadline = time.monotonic() + timeout_s
         while (now := time.monotonic()) < deadline:
             next_end = min(self._unreported_ends(), default=deadline)
@@ -98,7 +102,7 @@
 
 
 class SingleWrites(jobtable.JobTable):
-    """The naive version: one compare-and-swap for each changed job."""
+    """The baseline: write each changed job by a compare-and-swap."""
 
     def commit_once(self) -> bool:
         with self.changed:
@@ -119,7 +123,7 @@
 
 def start_workers(count: int, job_started_at: dict[str, float]
                   ) -> tuple[list[options.Machine], list[grpc.Server]]:
-    """Start answering workers; return them and their servers."""
+    """Start stub workers; return their options and their servers."""
     workers, servers = [], []
     for index in range(count):
         server = grpc.server(concurrent.futures.ThreadPoolExecutor(4))
@@ -136,7 +140,7 @@
 def measure_rate(table_class: type[jobtable.JobTable], rate: int,
                  load_s: float, kv_target: str, opts: options.Options,
                  run_number: int) -> dict:
-    """Run one rate on one kind of table; return what was measured."""
+    """Measure one rate of job submissions with one kind of job table."""
     job_started_at: dict[str, float] = {}
     workers, servers = start_workers(OWNED_CELLS, job_started_at)
     opts = dataclasses.replace(opts, machines=tuple(workers),
@@ -191,7 +195,7 @@
 
 
 def main() -> int:
-    """Run every leg and print it."""
+    """Measure every rate; print and write the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=6.0)
     parser.add_argument("--rates", default="30,122,250")
--- a/bench/teams.py
+++ b/bench/teams.py
@@ -1,10 +1,11 @@
-"""Measure 140 teams with quotas against the same fleet without them.
-
-One team floods a full-size fleet with renewals; then each of the others
-asks for one.  Two legs on the same load: every team has a quota, and the
-naive version, first come first served.  Shows how long the other teams wait
-for their start and by how much the flooding team overshoots its quota (an
-owner knows what its peers placed only as of their last status).
+"""Compare quotas for 140 teams with a fleet without quotas.
+
+One team floods a full-size fleet (30 workers) with renewals, then each of
+the other teams submits one.  The same load is run with a quota for every
+team and without quotas (first come, first served).  Shows how long the other
+teams wait for their start and by how much the flooding team exceeds its
+quota: an owner knows the placements of the other owners only as of their
+last status.
 """
 
 import argparse
@@ -34,7 +35,10 @@
 
 
 def submit(deploy: launch.Deployment, team: str, number: int) -> bool:
-    """Submit one renewal for a team; return whether it was accepted."""
+    """Submit one renewal for a team; return whether it was accepted.
+
+    Try up to ten times, once a second, each time at the next entry process.
+    """
     entries = len(deploy.opts.entries)
     for attempt in range(10):
         status, _ = deploy.call(
@@ -48,7 +52,10 @@
 
 
 def submit_all(deploy: launch.Deployment, teams: list[str]) -> int:
-    """Submit the flood, then the other teams' jobs; return the accepted."""
+    """Submit every job; return how many were accepted.
+
+    The jobs of the other teams are spread over OTHERS_PERIOD_S.
+    """
     with concurrent.futures.ThreadPoolExecutor(CLIENT_THREADS) as pool:
         jobs = [pool.submit(submit, deploy, FLOODING_TEAM, n)
                 for n in range(FLOOD_JOB_COUNT)]
@@ -62,13 +69,13 @@
 
 
 def team_of(job: str) -> str:
-    """Return the team that a job id of this bench names."""
+    """Return the team in a job id of this benchmark."""
     return job.split(".")[0]
 
 
 def peak_cpus(intervals: list[checks.Interval], cpus_per_task: float
               ) -> dict[str, float]:
-    """Return the most processors that each team held at once."""
+    """Return the peak number of processors reserved by each team."""
     changes = sorted([(s.began, cpus_per_task, s.job) for s in intervals]
                      + [(s.ended, -cpus_per_task, s.job)
                         for s in intervals if s.ended])
@@ -82,13 +89,13 @@
 
 
 def flood_or_others(line: dict) -> str:
-    """Return whether an accepted job is of the flood or of the others."""
+    """Return the group of the team whose job a log line is about."""
     return "flood" if team_of(line["job"]) == FLOODING_TEAM else "others"
 
 
 def run_configuration(directory: str, base_port: int, quota_cpus: float | None
                       ) -> dict:
-    """Run one leg; return what it showed."""
+    """Run the load with a quota, or without if None; return the results."""
     os.makedirs(directory)
     teams = [f"team-{number:03}" for number in range(TEAM_COUNT)]
     deploy = launch.Deployment.from_sample(
@@ -121,7 +128,7 @@
 
 
 def main() -> int:
-    """Run both legs and write the results."""
+    """Run the load with and without quotas and write the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--base-port", type=int, default=18400)
     parser.add_argument("--out", default="bench-results/teams.json")
--- a/tools/faults.py
+++ b/tools/faults.py
@@ -1,10 +1,12 @@
-"""Inject a seeded plan of faults into a local deployment.
-
-Faults come through the stand-ins' own knobs and through signals, on
-loopback only, bounded in number and time: kill or freeze an entry process,
-kill a worker, take the key-value service down, slow it, make it lose
-replies, mark a backend leaving, make a worker fail all it starts, and two
-operators racing on the rules.
+"""Inject faults from a seeded random plan into a local deployment.
+
+Faults are injected by signals and by the fault settings of the stand-ins,
+on the loopback interface only, and are bounded in number and duration.  An
+entry process can be killed, frozen, stopped or cut off from the store.  A
+worker can be killed, frozen, lost for good, shrunk or made to fail every
+task it starts.  The key-value service can be down, slow or lose replies.  A
+backend can be marked as leaving, and two operators can add rules at the
+same time.
 """
 
 import random
@@ -28,10 +30,10 @@
 
 
 class Plan:
-    """A seeded list of faults spread over a load's duration."""
+    """A seeded random list of faults spread over the duration of a load."""
 
-    # The kinds that the first plans were drawn from; a seed means the same
-    # plan only over the same kinds.
+    # A seed reproduces a plan only if it is drawn from the same kinds, so
+    # these tuples must not change; a new kind needs a new tuple.
     BASIC_KINDS = ("kill-entry", "freeze-entry", "kill-worker", "kv-down",
                    "kv-slow", "kv-lose-replies", "backend-leaving",
                    "worker-fails-all", "operators-race")
@@ -52,7 +54,10 @@
         self.lost_workers: list[str] = []
 
     def run(self) -> None:
-        """Inject each fault at its time; each undoes itself."""
+        """Inject each fault at its time; return when all are undone.
+
+        Faults may overlap.  Wait at most 20 s for each one at the end.
+        """
         started_at = time.monotonic()
         threads = []
         for at, kind in self.schedule:
@@ -65,7 +70,10 @@
             thread.join(timeout=20)
 
     def inject(self, kind: str, at: float) -> None:
-        """Inject one fault and undo it after a while."""
+        """Inject one fault, undo it after its duration and record it.
+
+        A lost worker is not restarted.
+        """
         opts = self.deploy.opts
         entry = self.random.choice(opts.entries).name
         machine = self.random.choice(opts.machines)
@@ -87,8 +95,9 @@
     def _stop_entry(self, entry: str, machine: object) -> str:
         self.deploy.signal(entry, signal.SIGTERM)
         time.sleep(self.deploy.opts.timings.drain)
-        # A freeze may have stretched the stop.  Started meanwhile, it would
-        # count as running and then be gone for the rest of the round.
+        # Wait for the exit, which a freeze can delay.  start() ignores a
+        # process that still runs, so that the entry process would be missing
+        # for the rest of the load.
         self.deploy.wait_for_exit(entry)
         self.deploy.start("entry", entry)
         return entry
@@ -105,7 +114,7 @@
         return machine.name
 
     def _lose_worker(self, entry: str, machine: typing.Any) -> str:
-        # One worker at most, so that what is left can hold every job.
+        # Lose at most one worker, so that the others can run every job.
         if not self.lost_workers:
             self.lost_workers.append(machine.name)
             self.deploy.signal(machine.name, signal.SIGKILL)
@@ -113,7 +122,7 @@
 
     def _kill_worker(self, entry: str, machine: typing.Any) -> str:
         if machine.name in self.lost_workers:
-            return f"{machine.name} (lost already)"
+            return f"{machine.name} (already lost)"
         self.deploy.signal(machine.name, signal.SIGKILL)
         time.sleep(RESTART_DELAY_S)
         if machine.name not in self.lost_workers:
@@ -132,7 +141,7 @@
 
     def _kv_slow(self, entry: str, machine: object) -> str:
         self._inject_kv_fault(FAULT_DURATION_S, delay_ms=300)
-        return "300 ms a call"
+        return "300 ms per call"
 
     def _kv_lose_replies(self, entry: str, machine: object) -> str:
         self._inject_kv_fault(FAULT_DURATION_S, lose_reply_ratio=0.3)
@@ -165,7 +174,7 @@
 
     def _worker_shrinks(self, entry: str, machine: typing.Any) -> str:
         self._inject_worker_fault(machine, shrunk_by=0.5)
-        return f"{machine.name} to half its room"
+        return f"{machine.name} to half its capacity"
 
     def _operators_race(self, entry: str, machine: object) -> str:
         urls = [self.deploy.url(i) for i in range(2)]
--- a/tools/known_red.py
+++ b/tools/known_red.py
@@ -1,7 +1,7 @@
-"""Run pytest passing over the tests listed in KNOWN-RED.txt, and print them.
+"""Run pytest without the known failing tests and print their entries.
 
-KNOWN-RED.txt holds at most three lines, each "test id; command and seed; what
-was seen; issue".
+KNOWN-RED.txt lists at most three such tests, one a line, each as "test id;
+command and seed; what was seen; issue".
 """
 
 import os
@@ -13,21 +13,25 @@
 
 
 def read_known_red() -> list[str]:
-    """Return the listed test ids; exit 2 when more than three are listed."""
+    """Print the entries of KNOWN-RED.txt and return their test ids.
+
+    Exit with status 2 if there are more than MAX_ENTRIES.
+    """
     if not os.path.exists(KNOWN_RED_PATH):
         return []
     with open(KNOWN_RED_PATH, encoding="utf-8") as handle:
         lines = [line.strip() for line in handle if line.strip()]
     if len(lines) > MAX_ENTRIES:
-        print(f"KNOWN-RED.txt lists {len(lines)} tests; {MAX_ENTRIES} at most")
+        print(f"KNOWN-RED.txt lists {len(lines)} tests, "
+              f"more than {MAX_ENTRIES}")
         sys.exit(2)
     for line in lines:
-        print(f"known red, passed over: {line}")
+        print(f"deselected, known to fail: {line}")
     return [line.split(";")[0].strip() for line in lines]
 
 
 def main() -> int:
-    """Run the given pytest command with the known-red tests deselected."""
+    """Run the given pytest command with the listed tests deselected."""
     command = sys.argv[1:]
     for test_id in read_known_red():
         command += ["--deselect", test_id]
--- a/tools/launch.py
+++ b/tools/launch.py
@@ -1,11 +1,12 @@
-"""Bring up a local deployment on loopback, drive its load, and stop it.
-
-Product processes start no other process (the brief), so this launcher is
-kept apart from the package.  It starts the stand-ins, the workers and the
-entry processes as separate processes of the one binary, waits until every
-worker is owned, runs the load tool (with a seeded fault plan if asked),
-prints its report, checks the merged time line against the invariants, and
-stops everything with SIGTERM (a planned stop).
+"""Run a local deployment under load on the loopback interface.
+
+The processes of sycamorefield never start other processes, so this launcher
+is kept outside the package.  It starts the stand-ins, the workers and the
+entry processes, each as a process of the same binary, waits until entry
+processes own every worker, and runs the load tool, which prints its report.
+If asked, it injects faults from a seeded plan during the load.  It then
+stops every process with SIGTERM (a planned stop), merges the log files into
+one time line and checks it against the invariants.
 """
 
 import argparse
@@ -30,20 +31,20 @@
 from tools import faults  # noqa: E402
 
 READY_TIMEOUT_S = 30.0
-# How often workers are looked for that a task has crashed.
+# Interval between checks for worker processes that a task has crashed.
 CRASH_CHECK_PERIOD_S = 1.0
 STOP_TIMEOUT_S = 10.0
 
 
 def binary_command(binary: str | None) -> list[str]:
-    """Return the argv prefix that runs the one binary."""
+    """Return the command that runs the zipapp, or the source if None."""
     if binary:
         return [sys.executable, binary]
     return [sys.executable, "-m", "sycamorefield"]
 
 
 class Deployment:
-    """A local deployment: its settings file, options and processes."""
+    """Start, signal and stop the processes of a local deployment."""
 
     def __init__(self, settings_path: str, binary: str | None = None,
                  policy: str = "guarded") -> None:
@@ -61,7 +62,12 @@
     def from_sample(cls, directory: str, base_port: int,
                     sample: str = settings.DEFAULT,
                     **overrides: object) -> "Deployment":
-        """Write a sample's settings with its own ports and log dir."""
+        """Create a deployment from sample settings.
+
+        Write the settings file to the given directory, which must exist,
+        with the given base port, a log directory below that directory and
+        the overrides.
+        """
         values = yaml.safe_load(settings.sample_text(sample))
         values["base_port"] = base_port
         values["log_dir"] = os.path.join(directory, "logs")
@@ -72,7 +78,7 @@
         return cls(path)
 
     def start(self, role: str, name: str = "") -> None:
-        """Start one process of a role (and name), if none is running."""
+        """Start the process of a role and name unless it is running."""
         label = name or role
         with self.lock:
             running = self.procs.get(label)
@@ -90,7 +96,7 @@
             argv, stdout=subprocess.DEVNULL, stderr=stderr_file)
 
     def wait_for_exit(self, label: str) -> bool:
-        """Wait until a process has ended; False if it takes too long."""
+        """Wait for a process to exit; return False after STOP_TIMEOUT_S."""
         try:
             self.procs[label].wait(timeout=STOP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
@@ -98,13 +104,16 @@
         return True
 
     def signal(self, label: str, signal_number: int) -> None:
-        """Send a signal to one process."""
+        """Send a signal to a process unless it has exited."""
         proc = self.procs[label]
         if proc.poll() is None:
             proc.send_signal(signal_number)
 
     def up(self) -> None:
-        """Start every process and wait until every worker is owned."""
+        """Start every process and wait until every worker is owned.
+
+        Raise RuntimeError if that takes longer than READY_TIMEOUT_S.
+        """
         self.start("kv")
         self.start("vm-list")
         for machine in self.opts.machines:
@@ -114,11 +123,12 @@
             self.start("entry", spec.name)
         threading.Thread(target=self._restart_crashed, daemon=True).start()
         if not self.wait_until_ready():
-            raise RuntimeError("deployment did not come up; see "
+            raise RuntimeError("not every entry process and worker is ready; "
+                               "see the logs in "
                                + self.opts.log_dir)
 
     def _restart_crashed(self) -> None:
-        """Start workers again whose process a task has ended."""
+        """Restart workers whose process was crashed by a task."""
         while not self.stopping.wait(CRASH_CHECK_PERIOD_S):
             for machine in self.opts.machines:
                 proc = self.procs[machine.name]
@@ -126,7 +136,10 @@
                     self.start("worker", machine.name)
 
     def wait_until_ready(self) -> bool:
-        """Wait until all entries know each other and own every worker."""
+        """Wait until entry processes see each other and own every worker.
+
+        Return False after READY_TIMEOUT_S.
+        """
         deadline = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < deadline:
             owned: set[str] = set()
@@ -144,13 +157,17 @@
         return False
 
     def url(self, entry_index: int = 0) -> str:
-        """Return the base URL of an entry process."""
+        """Return the base URL of the HTTP interface of an entry process."""
         spec = self.opts.entries[entry_index]
         return f"http://{self.opts.host}:{spec.http_port}"
 
     def call(self, method: str, url: str, body: object = None,
              raw: bytes | None = None) -> tuple[int, dict]:
-        """Send one HTTP call; return status and JSON body (0 on failure)."""
+        """Send an HTTP request; return the status and the JSON body.
+
+        The request body is raw, if given, or else body encoded as JSON.
+        Return (0, {}) if the request fails or the reply is not JSON.
+        """
         data = raw if raw is not None else (
             json.dumps(body).encode() if body is not None else None)
         try:
@@ -162,7 +179,10 @@
             return 0, {}
 
     def down(self) -> None:
-        """Stop every process with SIGTERM, then SIGKILL what remains."""
+        """Stop every process with SIGTERM, or SIGKILL after a timeout.
+
+        Each process also gets SIGCONT, as a fault may have stopped it.
+        """
         self.stopping.set()
         for proc in self.procs.values():
             if proc.poll() is None:
@@ -176,21 +196,25 @@
                 proc.wait()
 
     def check(self) -> list:
-        """Merge the time line and return every invariant finding."""
+        """Merge the logs and return every violation of an invariant."""
         return checks.check(timeline.merge(self.opts.log_dir))
 
 
 def main() -> int:
-    """Run the launcher; return the exit code."""
+    """Run the deployment under load.
+
+    Return 0 on success, the exit code of the load tool if it fails, 1 if an
+    invariant was violated and 2 if the settings are invalid.
+    """
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--settings", default="embedded:" + settings.DEFAULT)
     parser.add_argument("--binary", default=None,
-                        help="path of the zipapp (default: the source)")
+                        help="path of the zipapp (default: run the source)")
     parser.add_argument("--seconds", type=float, default=None)
     parser.add_argument("--policy", default="guarded")
     parser.add_argument("--report", default=None)
     parser.add_argument("--faults", type=int, default=0,
-                        help="number of seeded faults during the load")
+                        help="number of faults injected during the load")
     parser.add_argument("--seed", type=int, default=1)
     args = parser.parse_args()
     load_result = settings.load(args.settings)
