--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,9 +1,10 @@
-"""Measure the slopes that docs/CAPACITY.md is worked out from.
+"""Measure what each worker and each task costs an entry process.
 
-One entry process, the key-value stand-in and the VM list run as processes;
-this process answers for every worker.  Legs with more and more workers,
-then with more and more running tasks, give memory, processor time and
-key-value calls per worker and per task.  Prints JSON.
+One entry process, the key-value stand-in and the VM list stand-in run as
+processes; this process serves the RPCs of every worker.  Memory, processor
+time and bytes exchanged with workers are measured at increasing numbers of
+workers, and then of running tasks.  docs/CAPACITY.md derives the cost per
+worker and per task from the differences.  Prints JSON.
 """
 
 import argparse
@@ -29,81 +30,90 @@
 from tools import launch  # noqa: E402
 
 ZONES = ("townsville", "cairns", "mackay")
-STEP_SECONDS = 8.0
+WINDOW_S = 8.0
 
 
-class StandingWorker(starts.AnsweringWorker):
-    """Accept every start and run it for ever; count the bytes spoken."""
+class EndlessTaskWorker(starts.StubWorker):
+    """A stub worker whose tasks never end and that counts bytes."""
 
-    spoken = 0
+    bytes_exchanged = 0
     run_seconds = math.inf
 
     def StartTask(self, request, context):
         reply = super().StartTask(request, context)
-        type(self).spoken += request.ByteSize() + reply.ByteSize()
+        type(self).bytes_exchanged += request.ByteSize() + reply.ByteSize()
         return reply
 
     def Report(self, request, context):
         reply = super().Report(request, context)
-        type(self).spoken += request.ByteSize() + reply.ByteSize()
+        type(self).bytes_exchanged += request.ByteSize() + reply.ByteSize()
         return reply
 
 
-def answer_for(deploy: launch.Deployment) -> list[grpc.Server]:
-    """Serve every worker of a deployment from this process."""
+def serve_workers(deploy: launch.Deployment) -> list[grpc.Server]:
+    """Serve the RPCs of every worker of a deployment from this process."""
     servers = []
-    # A held report keeps a thread, so there is more than one a worker.
+    # A Report call that waits for a task to end blocks one thread, so each
+    # worker needs another one to accept starts.
     pool = concurrent.futures.ThreadPoolExecutor(
         2 * len(deploy.opts.machines))
     for machine in deploy.opts.machines:
         server = grpc.server(pool)
-        pb_grpc.add_WorkerServicer_to_server(StandingWorker({}), server)
+        pb_grpc.add_WorkerServicer_to_server(EndlessTaskWorker({}), server)
         server.add_insecure_port(f"{deploy.opts.host}:{machine.grpc_port}")
         server.start()
         servers.append(server)
     return servers
 
 
-def sample(deploy: launch.Deployment, label: str) -> dict:
-    """Measure the entry process over one window."""
+def measure_window(deploy: launch.Deployment, label: str) -> dict:
+    """Measure the entry process for WINDOW_S and print the result."""
     pid = deploy.procs["entry-1"].pid
     time.sleep(2.0)
-    cpu, spoken = idle.cpu_seconds(pid), StandingWorker.spoken
-    time.sleep(STEP_SECONDS)
+    cpu, bytes_before = (idle.cpu_seconds(pid),
+                         EndlessTaskWorker.bytes_exchanged)
+    time.sleep(WINDOW_S)
     row = {"step": label, "rss_mb": round(idle.rss_mb(pid), 1),
            "cpu_percent": round(100 * (idle.cpu_seconds(pid) - cpu)
-                                / STEP_SECONDS, 2),
+                                / WINDOW_S, 2),
            "worker_bytes_per_s": round(
-               (StandingWorker.spoken - spoken) / STEP_SECONDS)}
+               (EndlessTaskWorker.bytes_exchanged - bytes_before)
+               / WINDOW_S)}
     print(json.dumps(row), flush=True)
     return row
 
 
-def leg(directory: str, base_port: int, workers: int, tasks: list[int],
-        report: float, lease: float) -> list[dict]:
-    """Measure one fleet size, idle and with running tasks."""
+def measure_fleet(directory: str, base_port: int, worker_count: int,
+                  task_counts: list[int], report_interval_s: float,
+                  task_lease_s: float) -> list[dict]:
+    """Measure a fleet of one size, idle and with running tasks.
+
+    task_counts are the increasing numbers of tasks to measure.
+    """
     os.makedirs(directory)
     timings = yaml.safe_load(settings.sample_text(
         settings.DEFAULT_SAMPLE))["timings"]
-    timings.update(report_seconds=report, task_lease_seconds=lease)
+    timings.update(report_seconds=report_interval_s,
+                   task_lease_seconds=task_lease_s)
     deploy = launch.Deployment.from_sample(
         directory, base_port, entries=1, cells=8, quiet_share=0.0,
         timings=timings,
         zones=[{"name": zone, "racks": [{
-            "name": f"{zone[:3]}-r{rack}", "workers": workers // 12}
+            "name": f"{zone[:3]}-r{rack}", "workers": worker_count // 12}
             for rack in range(4)]} for zone in ZONES])
-    servers = answer_for(deploy)
-    out = []
+    servers = serve_workers(deploy)
+    rows = []
     try:
         for role, name in (("kv", ""), ("vm-list", ""),
                            ("entry", "entry-1")):
             deploy.start(role, name)
-        if not deploy.ready():
-            raise RuntimeError("entry process did not come up")
-        out.append(sample(deploy, f"{workers} workers idle"))
+        if not deploy.wait_until_ready():
+            raise RuntimeError(
+                "the entry process is not ready or a worker has no owner")
+        rows.append(measure_window(deploy, f"{worker_count} workers idle"))
         submitted = 0
-        for count in tasks:
-            while submitted < count:
+        for task_count in task_counts:
+            while submitted < task_count:
                 status, body = deploy.call(
                     "POST", deploy.url(0) + "/v1/jobs",
                     {"customer": "owners", "work": "fleet-watch",
@@ -113,20 +123,21 @@
                 elif status == 503:
                     time.sleep(1.0)
                 else:
-                    raise RuntimeError(f"not accepted: {body}")
+                    raise RuntimeError(f"job was not accepted: {body}")
             deployment.wait_until(lambda: deploy.call(
                 "GET", deploy.url(0) + "/metrics")[1]["counters"][
                     "batch_started"] >= submitted, 20)
-            out.append(sample(deploy, f"{workers} workers, {count} tasks"))
+            rows.append(measure_window(
+                deploy, f"{worker_count} workers, {task_count} tasks"))
     finally:
         deploy.down()
         for server in servers:
             server.stop(0)
-    return out
+    return rows
 
 
 def main() -> int:
-    """Measure every leg and print it."""
+    """Measure every fleet size; print and write the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--base-port", type=int, default=20400)
     parser.add_argument("--report-seconds", type=float, default=0.5)
@@ -135,11 +146,12 @@
     args = parser.parse_args()
     results = []
     with tempfile.TemporaryDirectory() as tmp:
-        for number, (workers, tasks) in enumerate(
+        for index, (worker_count, task_counts) in enumerate(
                 ((24, []), (96, []), (240, [500, 1500]))):
-            results += leg(os.path.join(tmp, str(workers)),
-                           args.base_port + number * 1000, workers, tasks,
-                           args.report_seconds, args.task_lease)
+            results += measure_fleet(
+                os.path.join(tmp, str(worker_count)),
+                args.base_port + index * 1000, worker_count, task_counts,
+                args.report_seconds, args.task_lease)
     output.write(args.out, results)
     return 0
 
