--- a/sycamorefield/platform/daemon.py
+++ b/sycamorefield/platform/daemon.py
@@ -112,7 +112,7 @@
                     port_range=self.settings.port_range)
         if self.settings.orders != bootsettings.ORDERS_BY_RPC:
             # Only orders sent by calls to workers are implemented; another
-            # value asks for orders in the replies to workers' heartbeats.
+            # value would require sending orders with workers' heartbeats.
             events.emit(events.SETTING_IGNORED, setting="orders",
                         value=self.settings.orders)
         self.stop_requested.wait()
