--- a/sycamorefield/fleet/reports.py
+++ b/sycamorefield/fleet/reports.py
@@ -44,8 +44,8 @@
             worker.unresponsive = worker.connection_closed = False
         if not worker.has_reported:
             # A previous owner may have granted leases of maximum length.
-            worker.granted_until_ms = max(
-                worker.granted_until_ms, report.clock_ms + min(
+            worker.granted_end_ms = max(
+                worker.granted_end_ms, report.clock_ms + min(
                     workerstate.LEASE_MS, fleet.hold_max_ms))
         new_ends = False
         for ended in report.ended:
--- a/sycamorefield/fleet/workerstate.py
+++ b/sycamorefield/fleet/workerstate.py
@@ -96,7 +96,7 @@
         self.clock_ms = 0.0
         self.clock_read_at = 0.0
         # The latest end of any lease granted here.
-        self.granted_until_ms = 0.0
+        self.granted_end_ms = 0.0
         # The number of the last end of a run that was taken from a report.
         self.last_processed_end = 0
         # The number of the last change after which a run may fit here that
@@ -134,7 +134,7 @@
         if not self.clock_read_at:
             return None
         end_ms = self.clock_ms + (now - self.clock_read_at) * 1000.0 + lease_ms
-        self.granted_until_ms = max(self.granted_until_ms, end_ms)
+        self.granted_end_ms = max(self.granted_end_ms, end_ms)
         return end_ms
 
     def leases_expired(self, now: float) -> bool:
@@ -143,7 +143,7 @@
             return False
         earliest_ms = (self.clock_ms
                        + (now - self.clock_read_at) * 1000.0 * MIN_CLOCK_RATE)
-        return earliest_ms > self.granted_until_ms + LEASE_END_SLACK_MS
+        return earliest_ms > self.granted_end_ms + LEASE_END_SLACK_MS
 
     def reserve(self, run: RunId, step: messages.Step,
                 task: progress.TaskState | None) -> None:
--- a/tests/test_fleet_link.py
+++ b/tests/test_fleet_link.py
@@ -65,10 +65,10 @@
     """
     link = make_link(bench, fleetfakes.MemoryWorker("i-0"))
     assert link._lease_end_ms() is not None
-    granted = bench.state.workers["i-0"].granted_until_ms
+    granted = bench.state.workers["i-0"].granted_end_ms
     bench.state.mark_unresponsive("i-0", "refused")
     assert link._lease_end_ms() is None
-    assert bench.state.workers["i-0"].granted_until_ms == granted
+    assert bench.state.workers["i-0"].granted_end_ms == granted
 
 
 @pytest.mark.parametrize("pause_s", [0.0, 1.0, 6.0])
@@ -87,7 +87,7 @@
 
     link.may_lease = may_lease
     assert link._lease_end_ms() <= latest_ms
-    assert bench.state.workers["i-0"].granted_until_ms <= latest_ms
+    assert bench.state.workers["i-0"].granted_end_ms <= latest_ms
 
 
 def test_start_delayed_by_the_lock_is_not_sent_after_stepping_down(bench):
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -348,7 +348,7 @@
                               start + owner_mod.OWNER_LEASE_S
                               + recovery.MAX_STORE_OUTAGE_S
                               + workerstate.LEASE_EXPIRY_S)
-    granted_until_ms = 0.0
+    granted_end_ms = 0.0
     while later.state.awaited_workers:
         earlier.now += 0.25
         later.now = earlier.now
@@ -359,7 +359,7 @@
             elif silence_s <= recovery.MAX_STORE_OUTAGE_S:
                 if (silence_s <= owner_mod.OWNER_LEASE_S
                         or earlier.state.has_quorum(earlier.now)):
-                    granted_until_ms = earlier.state.workers[
+                    granted_end_ms = earlier.state.workers[
                         entry.worker_id].grant_lease(
                             workerstate.LEASE_MS, earlier.now)
                 earlier.report(entry.worker_id)
@@ -368,7 +368,7 @@
                 later.report(entry.worker_id)
         earlier.state.expire(earlier.now)
         later.state.expire(later.now)
-    assert later.now * 1000.0 > granted_until_ms
+    assert later.now * 1000.0 > granted_end_ms
 
 
 @pytest.mark.parametrize("step", [
