--- a/sycamorefield/api.py
+++ b/sycamorefield/api.py
@@ -76,7 +76,7 @@
 
 
 Answer = result.Result[tuple[int, dict[str, object]], errors.Problem]
-M = typing.TypeVar("M", bound=pydantic.BaseModel)
+Model = typing.TypeVar("Model", bound=pydantic.BaseModel)
 
 
 def _findings(exc: pydantic.ValidationError) -> tuple[errors.Finding, ...]:
@@ -85,8 +85,8 @@
                  for e in exc.errors())
 
 
-def parse_body(model: type[M], limit: int) -> result.Result[M,
-                                                            errors.Problem]:
+def parse_body(model: type[Model], limit: int
+               ) -> result.Result[Model, errors.Problem]:
     """Read the request body and check it against model."""
     raw = cherrypy.request.body.read(limit + 1) or b"{}"
     if len(raw) > limit:
@@ -174,7 +174,7 @@
 class Admin:
     """Serve /admin/rules for operators."""
 
-    def __init__(self, entry: "entry_mod.Entry") -> None:
+    def __init__(self, entry: "entry_mod.EntryProcess") -> None:
         self.entry = entry
 
     @endpoint
@@ -209,7 +209,7 @@
 class V1:
     """Serve /v1 for callers."""
 
-    def __init__(self, entry: "entry_mod.Entry") -> None:
+    def __init__(self, entry: "entry_mod.EntryProcess") -> None:
         self.entry = entry
 
     @endpoint
@@ -237,7 +237,7 @@
 class Root:
     """Serve the entry process's whole HTTP tree."""
 
-    def __init__(self, entry: "entry_mod.Entry") -> None:
+    def __init__(self, entry: "entry_mod.EntryProcess") -> None:
         self.entry = entry
         self.v1 = V1(entry)
         self.admin = Admin(entry)
--- a/sycamorefield/cells.py
+++ b/sycamorefield/cells.py
@@ -50,8 +50,8 @@
             self.kv, claim.cell, self.name, claim.fence,
             self.opts.commit_pace, self.opts.timings.job_retention)
         owned = cell_mod.Cell(self.opts, claim.cell, claim.fence, table,
-                              self.strategy, self.name, self.members.holds,
-                              self.counters)
+                              self.strategy, self.name,
+                              self.members.lease_valid, self.counters)
         owned.usage_everywhere = self.usage_everywhere
         owned.move_target = self.move_target
         with self.lock:
@@ -72,7 +72,7 @@
             owned = self.owned.get(number)
         if owned is None or not owned.loaded or owned.table.lost:
             return None
-        return owned if self.members.holds() else None
+        return owned if self.members.lease_valid() else None
 
     def all(self) -> list[cell_mod.Cell]:
         """Return every owned, loaded cell."""
--- a/sycamorefield/cli.py
+++ b/sycamorefield/cli.py
@@ -90,7 +90,7 @@
     opts = _options(settings_path)
     spec = opts.entry(name)
     events.configure(name, spec.zone, opts.log_dir)
-    process = entry_mod.Entry(opts, name, policy)
+    process = entry_mod.EntryProcess(opts, name, policy)
     process.start()
     events.emit(events.PROCESS_STARTED, role="entry",
                 port=spec.http_port, policy=policy)
--- a/sycamorefield/dispatch.py
+++ b/sycamorefield/dispatch.py
@@ -16,7 +16,7 @@
 from sycamorefield import options
 from sycamorefield import routing
 
-TRIES = 3
+MAX_ATTEMPTS = 3
 LEAVING_STATUS = 503
 
 
@@ -60,29 +60,30 @@
     def send(self, request: BackendRequest, work: options.Work,
              zone: str | None) -> Outcome:
         """Return what became of a request after all tries."""
-        last = Outcome(OutcomeKind.NOT_SENT, detail="no live backend server")
+        outcome = Outcome(OutcomeKind.NOT_SENT,
+                          detail="no live backend server")
         maybe_ran = False
-        for _ in range(TRIES):
-            view = self.router.pick(zone)
-            if view is None:
+        for _ in range(MAX_ATTEMPTS):
+            backend = self.router.pick(zone)
+            if backend is None:
                 break
-            last = self._attempt(request, work, view)
-            maybe_ran = maybe_ran or last.kind == OutcomeKind.MAYBE_RAN
-            if last.kind in (OutcomeKind.ANSWERED, OutcomeKind.REFUSED):
+            outcome = self._attempt(request, work, backend)
+            maybe_ran = maybe_ran or outcome.kind == OutcomeKind.MAYBE_RAN
+            if outcome.kind in (OutcomeKind.ANSWERED, OutcomeKind.REFUSED):
                 break
             if maybe_ran and not work.idempotent:
                 break
-        if maybe_ran and last.kind != OutcomeKind.ANSWERED:
+        if maybe_ran and outcome.kind != OutcomeKind.ANSWERED:
             # An earlier attempt may have run, whatever the last one says.
-            return Outcome(OutcomeKind.MAYBE_RAN, detail=last.detail)
-        return last
+            return Outcome(OutcomeKind.MAYBE_RAN, detail=outcome.detail)
+        return outcome
 
     def _attempt(self, request: BackendRequest, work: options.Work,
-                 view: routing.BackendView) -> Outcome:
+                 backend: routing.BackendState) -> Outcome:
         sent_at = time.monotonic()
         try:
             reply = self.http.request(
-                "POST", f"{view.url}/work/{work.name}",
+                "POST", f"{backend.url}/work/{work.name}",
                 body=kvclient.encode(dataclasses.asdict(request)),
                 headers={"Content-Type": "application/json"},
                 timeout=self.opts.timings.request_timeout, retries=False)
@@ -90,30 +91,30 @@
                 urllib3.exceptions.ConnectTimeoutError) as exc:
             # Nothing was sent, so the request did not run there: it is
             # safe to try another backend, even for non-idempotent work.
-            self.router.done(view, None)
+            self.router.record_call(backend, None)
             return Outcome(OutcomeKind.NOT_SENT, detail=type(exc).__name__)
         except urllib3.exceptions.HTTPError as exc:
-            self.router.done(view, None)
+            self.router.record_call(backend, None)
             return Outcome(OutcomeKind.MAYBE_RAN, detail=type(exc).__name__)
-        self.router.done(view, (time.monotonic() - sent_at) * 1000.0
-                         / work.service_ms)
+        self.router.record_call(backend, (time.monotonic() - sent_at) * 1000.0
+                                / work.service_ms)
         if reply.status == LEAVING_STATUS:
             # The backend refused before running: it is leaving.
-            self.router.mark_leaving(view.name)
+            self.router.mark_leaving(backend.name)
             return Outcome(OutcomeKind.NOT_SENT,
-                           detail=f"{view.name} is leaving")
+                           detail=f"{backend.name} is leaving")
         if 400 <= reply.status < 500:
             return Outcome(OutcomeKind.REFUSED,
                            detail=f"backend refused with {reply.status}")
-        answer = _own_answer(reply, request)
+        answer = _parse_answer(reply, request)
         if answer is not None:
             return Outcome(OutcomeKind.ANSWERED, answer)
         return Outcome(OutcomeKind.MAYBE_RAN,
                        detail=f"no answer of its own, status {reply.status}")
 
 
-def _own_answer(reply: urllib3.BaseHTTPResponse,
-                request: BackendRequest) -> dict[str, object] | None:
+def _parse_answer(reply: urllib3.BaseHTTPResponse,
+                  request: BackendRequest) -> dict[str, object] | None:
     """Return the whole answer to this very request, or None.
 
     A backend that mixes up or cuts off answers had a request in hand; what
--- a/sycamorefield/membership.py
+++ b/sycamorefield/membership.py
@@ -20,8 +20,8 @@
 from sycamorefield import kvclient
 from sycamorefield import options
 
-MEMBERS = "/members/"
-OWNERS = "/owners/"
+MEMBERS_PREFIX = "/members/"
+OWNERS_PREFIX = "/owners/"
 
 
 @dataclasses.dataclass(frozen=True)
@@ -69,7 +69,7 @@
         self.stopped = threading.Event()
         self.on_claim: typing.Callable[[Claim], None] = lambda claim: None
         self.on_release: typing.Callable[[int, bool], None] = (
-            lambda cell, held: None)
+            lambda cell, lease_valid: None)
 
     def join(self) -> bool:
         """Grant a lease and write the member key; False if the store fails."""
@@ -78,19 +78,19 @@
         granted = self.kv.grant(ttl_ms)
         if not isinstance(granted, kvclient.result.Success):
             return False
-        if not self._announce(granted.unwrap()):
+        if not self._write_member_key(granted.unwrap()):
             return False
         self.lease = granted.unwrap()
         self.renewed_at = asked_at
         events.emit(events.MEMBER_JOINED, member=self.id)
         return True
 
-    def _announce(self, lease: int) -> bool:
+    def _write_member_key(self, lease: int) -> bool:
         """Write the member key; return whether the store took it."""
         spec = self.opts.entry(self.name)
         member = Member(self.name, spec.zone,
                         f"{self.opts.host}:{spec.grpc_port}", lease)
-        put = self.kv.put(MEMBERS + member.id,
+        put = self.kv.put(MEMBERS_PREFIX + member.id,
                           kvclient.encode(dataclasses.asdict(member)), lease)
         return isinstance(put, kvclient.result.Success)
 
@@ -109,7 +109,7 @@
             renewed = self.kv.keep_alive(self.lease)
             if renewed.value_or(-1) > 0:
                 self.renewed_at = asked_at
-            if renewed.value_or(-1) == 0 or not self.holds():
+            if renewed.value_or(-1) == 0 or not self.lease_valid():
                 # The lease lapsed while we were paused or cut off from the
                 # store: our member key and claims are gone or soon will be,
                 # and a successor may already own our cells.  By our own
@@ -117,85 +117,86 @@
                 # last renewal we sent, whether or not the store said so;
                 # drop every claim then and join again with a fresh lease.
                 events.emit(events.LEASE_LOST, member=self.id)
-                self._drop_all()
+                self._drop_claims()
                 self.lease = 0
                 continue
             self.refresh()
             self.stopped.wait(self.opts.timings.heartbeat)
 
-    def holds(self) -> bool:
+    def lease_valid(self) -> bool:
         """Return whether our lease is still live by our own clock."""
         return bool(self.lease) and (time.monotonic() - self.renewed_at
                                      < self.opts.timings.member_ttl)
 
     def refresh(self) -> None:
         """Read members and owners; claim or release cells to match."""
-        found = self.kv.range(MEMBERS)
-        if not isinstance(found, kvclient.result.Success):
+        members_read = self.kv.range(MEMBERS_PREFIX)
+        if not isinstance(members_read, kvclient.result.Success):
             return
         members = {}
-        for item in found.unwrap().items:
+        for item in members_read.unwrap().items:
             member = Member(**kvclient.decode(item.value))
             members[member.id] = member
         for gone in sorted(set(self.members) - set(members)):
             events.emit(events.MEMBER_LEFT, member=gone)
         self.members = members
-        claimed = self.kv.range(OWNERS)
-        if not isinstance(claimed, kvclient.result.Success):
+        owners_read = self.kv.range(OWNERS_PREFIX)
+        if not isinstance(owners_read, kvclient.result.Success):
             return
-        self.owners = {int(item.key[len(OWNERS):]):
+        self.owners = {int(item.key[len(OWNERS_PREFIX):]):
                        kvclient.decode(item.value)["owner"]
-                       for item in claimed.unwrap().items}
+                       for item in owners_read.unwrap().items}
         if self.id not in members:
             # Gone although our lease is live (an operator's slip, a late
             # delete): without it nobody could reach the cells we own.
-            self._announce(self.lease)
+            self._write_member_key(self.lease)
             return
-        for cell in self._unowned():
+        for cell in self._cells_to_claim():
             self._claim(cell)
-        for cell in self._surplus():
+        for cell in self._cells_to_release():
             self._release(cell)
 
-    def _counts(self) -> dict[str, int]:
+    def _count_owned_cells(self) -> dict[str, int]:
         counts = dict.fromkeys(self.members, 0)
         for owner in self.owners.values():
             if owner in counts:
                 counts[owner] += 1
         return counts
 
-    def _unowned(self) -> list[int]:
+    def _cells_to_claim(self) -> list[int]:
         """Return the free cells this member should claim now."""
-        free = [cell for cell in range(self.opts.cells)
-                if self.owners.get(cell) in (None, self.id)
-                and cell not in self.claims]
-        share = -(-self.opts.cells // len(self.members))
-        mine = self._counts()[self.id]
+        available = [cell for cell in range(self.opts.cells)
+                     if self.owners.get(cell) in (None, self.id)
+                     and cell not in self.claims]
+        max_share = -(-self.opts.cells // len(self.members))
+        own_count = self._count_owned_cells()[self.id]
         # Members start in different places so that they seldom race for
         # the same cell; a lost race costs one write and is harmless.
-        ranked = sorted(self.members)
-        shift = ranked.index(self.id) * share
-        free.sort(key=lambda cell: (cell - shift) % self.opts.cells)
-        held = [c for c in free if self.owners.get(c) == self.id]
-        return (held + [c for c in free if c not in held]
-                [:max(0, share - mine)])
-
-    def _surplus(self) -> list[int]:
+        member_ids = sorted(self.members)
+        offset = member_ids.index(self.id) * max_share
+        available.sort(key=lambda cell: (cell - offset) % self.opts.cells)
+        already_owned = [c for c in available if self.owners.get(c) == self.id]
+        return (already_owned
+                + [c for c in available if c not in already_owned]
+                [:max(0, max_share - own_count)])
+
+    def _cells_to_release(self) -> list[int]:
         """Return the cells this member should give up now."""
-        counts = self._counts()
+        counts = self._count_owned_cells()
         cells = sorted(self.claims)
-        share = -(-self.opts.cells // len(self.members))
-        floor = self.opts.cells // len(self.members)
-        if len(cells) > share:
-            return cells[share:]
-        if len(cells) > floor and min(counts.values()) < floor:
-            most = max(counts.values())
-            if self.id == min(n for n, c in counts.items() if c == most):
+        max_share = -(-self.opts.cells // len(self.members))
+        min_share = self.opts.cells // len(self.members)
+        if len(cells) > max_share:
+            return cells[max_share:]
+        if len(cells) > min_share and min(counts.values()) < min_share:
+            max_count = max(counts.values())
+            if self.id == min(n for n, c in counts.items() if c == max_count):
                 return cells[-1:]
         return []
 
     def _claim(self, cell: int) -> None:
         value = kvclient.encode({"owner": self.id})
-        swap = self.kv.cas(OWNERS + str(cell), 0, value, self.lease)
+        swap = self.kv.cas(OWNERS_PREFIX + str(cell), 0, value, self.lease)
         if not isinstance(swap, kvclient.result.Success):
             return
         outcome = swap.unwrap()
@@ -219,11 +220,11 @@
         if claim is None:
             return
         self.on_release(cell, True)
-        self.kv.cas(OWNERS + str(cell), claim.fence, b"", delete=True)
+        self.kv.cas(OWNERS_PREFIX + str(cell), claim.fence, b"", delete=True)
         self.owners.pop(cell, None)
         events.emit(events.CELL_RELEASED, cell=cell)
 
-    def _drop_all(self) -> None:
+    def _drop_claims(self) -> None:
         with self.lock:
             cells = list(self.claims)
             self.claims.clear()
@@ -239,7 +240,7 @@
             self.kv.revoke(self.lease)
         events.emit(events.MEMBER_LEFT, member=self.id)
 
-    def owned(self) -> list[Claim]:
+    def current_claims(self) -> list[Claim]:
         """Return this process's current claims."""
         with self.lock:
             return list(self.claims.values())
--- a/sycamorefield/peers.py
+++ b/sycamorefield/peers.py
@@ -20,15 +20,15 @@
 from sycamorefield import jobtable
 from sycamorefield import membership
 from sycamorefield import options
-from sycamorefield import rulebook
+from sycamorefield import rulecache
 from sycamorefield import sycamorefield_pb2 as pb
 from sycamorefield import sycamorefield_pb2_grpc as pb_grpc
 
-CALL_TIMEOUT = 3.0
-STATUS_TIMEOUT = 1.0
-COMMIT_TIMEOUT = 2.0
-STATUS_PERIOD = 0.5
-STALE_SECONDS = 5.0
+CALL_TIMEOUT_S = 3.0
+STATUS_TIMEOUT_S = 1.0
+COMMIT_TIMEOUT_S = 2.0
+STATUS_PERIOD_S = 0.5
+MAX_STATUS_AGE_S = 5.0
 
 ACCEPTED = "accepted"
 EXISTS = "exists"
@@ -43,11 +43,12 @@
     """Answer the peers about the cells owned here."""
 
     def __init__(self, opts: options.Options, name: str,
-                 cells: cells_mod.Cells, book: rulebook.Rulebook) -> None:
+                 cells: cells_mod.Cells,
+                 rule_cache: rulecache.RuleCache) -> None:
         self.opts = opts
         self.name = name
         self.cells = cells
-        self.book = book
+        self.rule_cache = rule_cache
 
     def Submit(self, request: pb.SubmitRequest,
                context: grpc.ServicerContext | None) -> pb.SubmitReply:
@@ -56,14 +57,14 @@
             return pb.SubmitReply(outcome=NOT_OWNER)
         table = cell.table
         with cell.lock:
-            known = table.get(request.job.job_id)
-            if known is not None and (known.state == jobtable.MOVED
-                                      and known.hops < request.job.hops):
+            existing = table.get(request.job.job_id)
+            if existing is not None and (existing.state == jobtable.MOVED
+                                         and existing.hops < request.job.hops):
                 # The job left here earlier and comes back: what we know
                 # is where it went then.  A repeated hand-over of a copy
                 # that we had taken has no more hops than our own record.
-                known = None
-            if known is None:
+                existing = None
+            if existing is None:
                 if not table.healthy or table.full():
                     # Refuse before anything is recorded, so that "not
                     # run" is true: a job staged while the store is down
@@ -72,14 +73,14 @@
                         outcome=NOT_RUN,
                         detail="store unavailable" if not table.healthy
                         else "cell is full")
-                arrived = jobtable.JobRecord.from_message(request.job)
-                arrived.arrived_at = time.time()
-                table.stage(arrived)
+                record = jobtable.JobRecord.from_message(request.job)
+                record.arrived_at = time.time()
+                table.stage(record)
         version = table.version_of(request.job.job_id)
-        if not table.wait(version, COMMIT_TIMEOUT):
+        if not table.wait(version, COMMIT_TIMEOUT_S):
             return pb.SubmitReply(outcome=UNKNOWN)
-        if known is not None:
-            return pb.SubmitReply(outcome=EXISTS, job=known.message())
+        if existing is not None:
+            return pb.SubmitReply(outcome=EXISTS, job=existing.message())
         cell.wake.set()
         return pb.SubmitReply(outcome=ACCEPTED, job=request.job)
 
@@ -88,16 +89,16 @@
         cell = self.cells.get(request.cell)
         if cell is None:
             return pb.ShowReply(outcome=NOT_OWNER)
-        return _shown(cell.table.get(request.job_id))
+        return _show_reply(cell.table.get(request.job_id))
 
     def Cancel(self, request: pb.JobQuery,
                context: grpc.ServicerContext | None) -> pb.ShowReply:
         cell = self.cells.get(request.cell)
         if cell is None:
             return pb.ShowReply(outcome=NOT_OWNER)
-        if not cell.table.wait(cell.cancel(request.job_id), COMMIT_TIMEOUT):
+        if not cell.table.wait(cell.cancel(request.job_id), COMMIT_TIMEOUT_S):
             return pb.ShowReply(outcome=UNKNOWN)
-        return _shown(cell.table.get(request.job_id))
+        return _show_reply(cell.table.get(request.job_id))
 
     def Status(self, request: pb.StatusRequest,
                context: grpc.ServicerContext | None) -> pb.StatusReply:
@@ -113,17 +114,18 @@
                                          interference=link.interference)
                          for link in cell.links.values()
                          if link.interference]))
-        ruleset = self.book.current
-        newer = ruleset.revision > request.rules_revision
+        ruleset = self.rule_cache.current
+        has_newer_rules = ruleset.revision > request.rules_revision
         return pb.StatusReply(
             entry=self.name, cells=statuses,
             rules_revision=ruleset.revision,
-            rules=(rulebook.encode(list(ruleset.rules)) if newer else b""),
+            rules=(rulecache.encode(list(ruleset.rules))
+                   if has_newer_rules else b""),
             usage=[pb.CustomerUsage(customer=c, cpus=v)
                    for c, v in sorted(self.cells.usage().items())])
 
 
-def _shown(record: jobtable.JobRecord | None) -> pb.ShowReply:
+def _show_reply(record: jobtable.JobRecord | None) -> pb.ShowReply:
     if record is None:
         return pb.ShowReply(outcome=ABSENT)
     return pb.ShowReply(outcome=FOUND, job=record.message())
@@ -143,38 +145,38 @@
     """The connection to one peer and what it last said of itself."""
 
     member: membership.Member
-    asker: str
-    book: rulebook.Rulebook
+    own_name: str
+    rule_cache: rulecache.RuleCache
 
     def __post_init__(self) -> None:
         self.channel = channels.connect(self.member.address)
         self.stub = pb_grpc.PeerStub(self.channel)
         self.stopped = threading.Event()
         self.status = pb.StatusReply()
-        self.heard_at = 0.0
+        self.last_status_at = 0.0
 
     def run(self) -> None:
         """Ask the peer for its status every period until stopped."""
-        while not self.stopped.wait(STATUS_PERIOD):
+        while not self.stopped.wait(STATUS_PERIOD_S):
             try:
                 self.status = self.stub.Status(
                     pb.StatusRequest(
-                        asker=self.asker,
-                        rules_revision=self.book.current.revision),
-                    timeout=STATUS_TIMEOUT)
+                        asker=self.own_name,
+                        rules_revision=self.rule_cache.current.revision),
+                    timeout=STATUS_TIMEOUT_S)
             except grpc.RpcError:
                 continue
-            self.heard_at = time.monotonic()
+            self.last_status_at = time.monotonic()
             # The store may be down since it accepted a change that this
             # peer has seen and we have not; the revision decides.
-            if self.status.rules_revision > self.book.current.revision:
-                self.book.offer(rulebook.parse(
+            if self.status.rules_revision > self.rule_cache.current.revision:
+                self.rule_cache.update_if_newer(rulecache.parse(
                     self.status.rules, self.status.rules_revision))
         self.channel.close()
 
-    def fresh(self) -> bool:
+    def has_recent_status(self) -> bool:
         """Return whether the peer answered lately."""
-        return time.monotonic() - self.heard_at < STALE_SECONDS
+        return time.monotonic() - self.last_status_at < MAX_STATUS_AGE_S
 
 
 class Peers:
@@ -190,30 +192,30 @@
         self.lock = threading.Lock()
         self.links: dict[str, PeerLink] = {}
         self.stopped = threading.Event()
-        self.own = pb.StatusReply()
+        self.own_status = pb.StatusReply()
 
     def run(self) -> None:
         """Keep one link per live peer and move jobs that wait here."""
-        while not self.stopped.wait(STATUS_PERIOD):
-            self.refresh_links()
-            self.own = self.server.Status(pb.StatusRequest(
-                rules_revision=self.server.book.current.revision), None)
-            self.move_jobs()
+        while not self.stopped.wait(STATUS_PERIOD_S):
+            self.update_links()
+            self.own_status = self.server.Status(pb.StatusRequest(
+                rules_revision=self.server.rule_cache.current.revision), None)
+            self.transfer_moving_jobs()
         for link in self.links.values():
             link.stopped.set()
 
-    def refresh_links(self) -> None:
+    def update_links(self) -> None:
         """Open links to new members and close those of members gone."""
-        live = {n: m for n, m in self.members.members.items()
-                if n != self.members.id}
+        live_peers = {n: m for n, m in self.members.members.items()
+                      if n != self.members.id}
         with self.lock:
             for name, link in list(self.links.items()):
-                if live.get(name) != link.member:
+                if live_peers.get(name) != link.member:
                     link.stopped.set()
                     del self.links[name]
-            for name, member in live.items():
+            for name, member in live_peers.items():
                 if name not in self.links:
-                    link = PeerLink(member, self.name, self.server.book)
+                    link = PeerLink(member, self.name, self.server.rule_cache)
                     self.links[name] = link
                     threading.Thread(target=link.run, daemon=True,
                                      name=f"peer-{name}").start()
@@ -221,8 +223,9 @@
     def statuses(self) -> list[pb.StatusReply]:
         """Return what is known now of every entry process, this one too."""
         with self.lock:
-            return [self.own] + [link.status for link in self.links.values()
-                                 if link.fresh()]
+            return [self.own_status] + [
+                link.status for link in self.links.values()
+                if link.has_recent_status()]
 
     def interference(self) -> dict[str, float]:
         """Return the last reported interference per worker."""
@@ -235,42 +238,43 @@
         It is as old as the peers' last status, so a burst may overshoot a
         quota by what the peers place within a status period.
         """
-        out: dict[str, float] = {}
+        cpus_by_customer: dict[str, float] = {}
         for status in self.statuses()[1:]:
             cells_mod.add_usage(
-                out, {used.customer: used.cpus for used in status.usage})
-        return out
+                cpus_by_customer,
+                {used.customer: used.cpus for used in status.usage})
+        return cpus_by_customer
 
-    def move_target(self, leaving: int, demand: options.Capacity) -> int:
+    def move_target(self, source_cell: int, demand: options.Capacity) -> int:
         """Return another cell with room for demand, or NO_CELL."""
-        best, best_cpus = jobtable.NO_CELL, 0.0
+        best_cell, best_cpus = jobtable.NO_CELL, 0.0
         for status in self.statuses():
             for cell in status.cells:
                 room = options.Capacity(cell.room.cpus, cell.room.memory_mb,
                                         cell.room.accelerators)
-                if (cell.cell != leaving and not cell.queued
+                if (cell.cell != source_cell and not cell.queued
                         and room.fits(options.ZERO, demand)
                         and room.cpus > best_cpus):
-                    best, best_cpus = cell.cell, room.cpus
-        return best
+                    best_cell, best_cpus = cell.cell, room.cpus
+        return best_cell
 
     def _call(self, cell: int, method: str, request: typing.Any,
-              unknown: typing.Any, not_owner: typing.Any) -> typing.Any:
+              on_rpc_error: typing.Any, on_no_owner: typing.Any) -> typing.Any:
         owner = self.members.owner_of(cell)
         if owner is None:
-            return not_owner
+            return on_no_owner
         if owner.id == self.members.id:
             return getattr(self.server, method)(request, None)
         if owner.id not in self.links:
-            self.refresh_links()
+            self.update_links()
         with self.lock:
             link = self.links.get(owner.id)
         if link is None:
-            return not_owner
+            return on_no_owner
         try:
-            return getattr(link.stub, method)(request, timeout=CALL_TIMEOUT)
+            return getattr(link.stub, method)(request, timeout=CALL_TIMEOUT_S)
         except grpc.RpcError:
-            return unknown
+            return on_rpc_error
 
     def submit(self, cell: int, record: jobtable.JobRecord
                ) -> pb.SubmitReply:
@@ -294,59 +298,60 @@
                           pb.ShowReply(outcome=UNKNOWN),
                           pb.ShowReply(outcome=NOT_OWNER))
 
-    def move_jobs(self) -> None:
+    def transfer_moving_jobs(self) -> None:
         """Hand each job marked as moving to the cell it moves to."""
         for cell in self.server.cells.all():
             for record in cell.table.in_state(jobtable.MOVING):
                 if cell.table.durable(record.job_id):
-                    self._move(cell, record)
-            self._end_pointer(cell)
+                    self._transfer_job(cell, record)
+            self._expire_forwarding_record(cell)
 
-    def _end_pointer(self, cell: cell_mod.Cell) -> None:
+    def _expire_forwarding_record(self, cell: cell_mod.Cell) -> None:
         """End the oldest pointer whose job has ended, one a round."""
-        pointers = cell.table.in_state(jobtable.MOVED)
-        if not pointers:
+        forwarding_records = cell.table.in_state(jobtable.MOVED)
+        if not forwarding_records:
             return
-        oldest = min(pointers, key=lambda r: r.finished_at)
+        oldest = min(forwarding_records, key=lambda r: r.finished_at)
         age = time.time() - oldest.finished_at
         if age < self.opts.timings.job_retention:
             return
         reply = self.show(oldest.moved_to, oldest.job_id)
-        ended = reply.outcome == ABSENT or (
+        job_finished = reply.outcome == ABSENT or (
             reply.outcome == FOUND and reply.job.state in jobtable.FINISHED)
         with cell.lock:
-            now = cell.table.get(oldest.job_id)
-            if now is None or now.state != jobtable.MOVED:
+            current = cell.table.get(oldest.job_id)
+            if current is None or current.state != jobtable.MOVED:
                 return
-            if ended:
-                now.state = reply.job.state or jobtable.DONE
+            if job_finished:
+                current.state = reply.job.state or jobtable.DONE
             # Otherwise look at it again a retention later.
-            now.finished_at = time.time()
-            cell.table.stage(now)
+            current.finished_at = time.time()
+            cell.table.stage(current)
 
-    def _move(self, cell: cell_mod.Cell, record: jobtable.JobRecord) -> None:
+    def _transfer_job(self, cell: cell_mod.Cell,
+                      record: jobtable.JobRecord) -> None:
         # The mark is durable before the job is handed over, and the target
         # takes a job id once, so a crash on either side at any point leads
         # to the same hand-over again and to one copy that can run.
-        arriving = dataclasses.replace(
+        transferred = dataclasses.replace(
             record, state=jobtable.QUEUED, worker="",
             moved_to=jobtable.NO_CELL, hops=record.hops + 1)
-        reply = self.submit(record.moved_to, arriving)
+        reply = self.submit(record.moved_to, transferred)
         with cell.lock:
-            now = cell.table.get(record.job_id)
-            if now is None or now.state != jobtable.MOVING:
+            current = cell.table.get(record.job_id)
+            if current is None or current.state != jobtable.MOVING:
                 return
             if reply.outcome in (ACCEPTED, EXISTS):
-                now.state = jobtable.MOVED
-                now.finished_at = time.time()
+                current.state = jobtable.MOVED
+                current.finished_at = time.time()
                 events.emit(events.JOB_MOVED, job=record.job_id,
                             cell=cell.number, to=record.moved_to)
             elif reply.outcome == NOT_RUN:
-                now.state = jobtable.QUEUED
-                now.moved_to = jobtable.NO_CELL
+                current.state = jobtable.QUEUED
+                current.moved_to = jobtable.NO_CELL
             else:
                 return
-            cell.table.stage(now)
+            cell.table.stage(current)
 
     def stop(self) -> None:
         """Stop the links."""
--- a/sycamorefield/routing.py
+++ b/sycamorefield/routing.py
@@ -23,18 +23,18 @@
 from sycamorefield import options
 
 EWMA_WEIGHT = 0.2
-FORGET_SECONDS = 10.0
-SHUN_SECONDS = 5.0
-ZONE_PENALTY = 0.15
+SLOWDOWN_DECAY_S = 10.0
+EXCLUSION_S = 5.0
+OTHER_ZONE_PENALTY = 0.15
 # Reports lag: a worker that takes noisy work may be noisy already.  Between
 # equal reports the workers kept quiet go first.
-NOISE_PENALTY = 0.5
-FRONT_LEAST = 8
-FRONT_SHARE = 0.1
+NOISY_WORKER_PENALTY = 0.5
+MIN_CANDIDATES = 8
+CANDIDATE_SHARE = 0.1
 
 
 @dataclasses.dataclass
-class BackendView:
+class BackendState:
     """What the router knows of one backend server.
 
     slowdown is a moving average of measured latency over the latency that
@@ -50,65 +50,66 @@
     measured_at: float = 0.0
     interference: float = 0.0
     quiet: bool = False
-    shunned_until: float = 0.0
+    excluded_until: float = 0.0
     in_flight: int = 0
 
     def usable(self, now: float) -> bool:
         """Return whether new work may go here now."""
-        return self.state == "live" and now >= self.shunned_until
+        return self.state == "live" and now >= self.excluded_until
 
-    def measured(self, now: float) -> float:
+    def decayed_slowdown(self, now: float) -> float:
         """Return the measured slowdown, forgotten bit by bit when unused."""
         age = max(0.0, now - self.measured_at)
-        return 1.0 + (self.slowdown - 1.0) * math.exp(-age / FORGET_SECONDS)
+        return 1.0 + (self.slowdown - 1.0) * math.exp(-age / SLOWDOWN_DECAY_S)
 
-    def expected(self, zone: str, now: float) -> float:
+    def expected_slowdown(self, zone: str, now: float) -> float:
         """Return the slowdown to expect here, zone and queue aside."""
-        penalty = 0.0 if self.zone == zone else ZONE_PENALTY
+        penalty = 0.0 if self.zone == zone else OTHER_ZONE_PENALTY
         if not self.quiet:
-            penalty += NOISE_PENALTY
-        return max(1.0 + self.interference, self.measured(now)) + penalty
+            penalty += NOISY_WORKER_PENALTY
+        return max(1.0 + self.interference,
+                   self.decayed_slowdown(now)) + penalty
 
-    def note(self, ratio: float, now: float) -> None:
+    def record_slowdown(self, slowdown: float, now: float) -> None:
         """Take in one measured latency over the declared one."""
-        before = self.measured(now)
-        self.slowdown = before + EWMA_WEIGHT * (ratio - before)
+        previous = self.decayed_slowdown(now)
+        self.slowdown = previous + EWMA_WEIGHT * (slowdown - previous)
         self.measured_at = now
 
 
-class Choice(abc.ABC):
+class LoadBalancingPolicy(abc.ABC):
     """Pick one of the usable backends."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
 
-    def refresh(self, usable: list[BackendView], zone: str) -> None:
+    def refresh(self, usable: list[BackendState], zone: str) -> None:
         """Prepare for picks from these backends, a few times a second."""
 
     @abc.abstractmethod
-    def pick(self, usable: list[BackendView], zone: str) -> BackendView:
+    def pick(self, usable: list[BackendState], zone: str) -> BackendState:
         """Return one of usable, which is not empty."""
 
 
-class Blind(Choice):
+class RandomChoice(LoadBalancingPolicy):
     """Pick at random."""
 
-    def pick(self, usable: list[BackendView], zone: str) -> BackendView:
+    def pick(self, usable: list[BackendState], zone: str) -> BackendState:
         return self.random.choice(usable)
 
 
-class BetterOfTwo(Choice):
+class PowerOfTwoChoices(LoadBalancingPolicy):
     """Pick the better of two random backends by measured latency."""
 
-    def pick(self, usable: list[BackendView], zone: str) -> BackendView:
+    def pick(self, usable: list[BackendState], zone: str) -> BackendState:
         now = time.monotonic()
         pair = self.random.sample(usable, min(2, len(usable)))
         return min(pair, key=lambda b: (
-            b.measured(now) * (1 + b.in_flight)
-            + (0.0 if b.zone == zone else ZONE_PENALTY)))
+            b.decayed_slowdown(now) * (1 + b.in_flight)
+            + (0.0 if b.zone == zone else OTHER_ZONE_PENALTY)))
 
 
-class LeastExpected(Choice):
+class LeastExpectedSlowdown(LoadBalancingPolicy):
     """Pick the least expected slowdown among a front of good backends.
 
     The front is chosen a few times a second from what workers reported
@@ -119,20 +120,21 @@
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
-        self.front: list[BackendView] = []
+        self.candidates: list[BackendState] = []
 
-    def refresh(self, usable: list[BackendView], zone: str) -> None:
+    def refresh(self, usable: list[BackendState], zone: str) -> None:
         now = time.monotonic()
-        size = max(FRONT_LEAST, int(len(usable) * FRONT_SHARE))
-        self.front = heapq.nsmallest(
+        size = max(MIN_CANDIDATES, int(len(usable) * CANDIDATE_SHARE))
+        self.candidates = heapq.nsmallest(
             size, usable,
-            key=lambda b: (b.expected(zone, now), self.random.random()))
+            key=lambda b: (b.expected_slowdown(zone, now),
+                           self.random.random()))
 
-    def pick(self, usable: list[BackendView], zone: str) -> BackendView:
+    def pick(self, usable: list[BackendState], zone: str) -> BackendState:
         now = time.monotonic()
-        front = [b for b in self.front if b.usable(now)] or usable
-        return min(front, key=lambda b: (
-            b.expected(zone, now) * (1 + b.in_flight / b.slots),
+        candidates = [b for b in self.candidates if b.usable(now)] or usable
+        return min(candidates, key=lambda b: (
+            b.expected_slowdown(zone, now) * (1 + b.in_flight / b.slots),
             self.random.random()))
 
 
@@ -140,16 +142,17 @@
     """Hold the backend views and pick among them."""
 
     def __init__(self, opts: options.Options, zone: str,
-                 http: urllib3.PoolManager, choice: Choice) -> None:
+                 http: urllib3.PoolManager,
+                 policy: LoadBalancingPolicy) -> None:
         self.opts = opts
         self.zone = zone
         self.http = http
-        self.choice = choice
+        self.policy = policy
         self.lock = threading.Lock()
         self.backends = {
-            m.name: BackendView(m.name, m.zone,
-                                f"http://{opts.host}:{m.http_port}", m.slots,
-                                quiet=m.name in opts.quiet_machines)
+            m.name: BackendState(m.name, m.zone,
+                                 f"http://{opts.host}:{m.http_port}", m.slots,
+                                 quiet=m.name in opts.quiet_machines)
             for m in opts.machines}
         self.stopped = threading.Event()
         self.interference: typing.Callable[[], dict[str, float]] = dict
@@ -165,53 +168,54 @@
             return False
         for vm in json.loads(reply.data):
             with self.lock:
-                view = self.backends.get(vm["name"])
-                if view is None:
+                backend = self.backends.get(vm["name"])
+                if backend is None:
                     continue
-                if vm["state"] != view.state and vm["state"] == "leaving":
-                    events.emit(events.BACKEND_LEAVING, backend=view.name,
+                if vm["state"] != backend.state and vm["state"] == "leaving":
+                    events.emit(events.BACKEND_LEAVING, backend=backend.name,
                                 source="vm-list")
-                view.state = vm["state"]
+                backend.state = vm["state"]
         return True
 
-    def run(self, period: float) -> None:
+    def run(self, period_s: float) -> None:
         """Refresh list and reports every period seconds until stopped."""
         while not self.stopped.is_set():
             self.refresh()
             reported = self.interference()
             with self.lock:
-                for view in self.backends.values():
-                    view.interference = reported.get(view.name, 0.0)
-                self.choice.refresh(self._usable(), self.zone)
-            self.stopped.wait(period)
+                for backend in self.backends.values():
+                    backend.interference = reported.get(backend.name, 0.0)
+                self.policy.refresh(self._usable(), self.zone)
+            self.stopped.wait(period_s)
 
-    def _usable(self) -> list[BackendView]:
+    def _usable(self) -> list[BackendState]:
         now = time.monotonic()
         return [b for b in self.backends.values() if b.usable(now)]
 
-    def pick(self, zone: str | None = None) -> BackendView | None:
+    def pick(self, zone: str | None = None) -> BackendState | None:
         """Return the backend to use, or None when none is usable."""
         with self.lock:
             usable = self._usable()
             if not usable:
                 return None
-            best = self.choice.pick(usable, zone or self.zone)
-            best.in_flight += 1
-            return best
+            chosen = self.policy.pick(usable, zone or self.zone)
+            chosen.in_flight += 1
+            return chosen
 
-    def done(self, view: BackendView, ratio: float | None) -> None:
+    def record_call(self, backend: BackendState,
+                    slowdown: float | None) -> None:
         """Record one call: latency over the declared one, None on failure."""
         now = time.monotonic()
         with self.lock:
-            view.in_flight -= 1
-            if ratio is None:
-                view.shunned_until = now + SHUN_SECONDS
+            backend.in_flight -= 1
+            if slowdown is None:
+                backend.excluded_until = now + EXCLUSION_S
                 return
-            view.note(ratio, now)
+            backend.record_slowdown(slowdown, now)
 
     def mark_leaving(self, name: str) -> None:
         """Keep a backend out because it said it is leaving."""
         with self.lock:
-            view = self.backends[name]
-            view.shunned_until = time.monotonic() + SHUN_SECONDS
+            backend = self.backends[name]
+            backend.excluded_until = time.monotonic() + EXCLUSION_S
         events.emit(events.BACKEND_LEAVING, backend=name, source="backend")
--- a/sycamorefield/ruleadmin.py
+++ b/sycamorefield/ruleadmin.py
@@ -14,11 +14,11 @@
 from sycamorefield import errors
 from sycamorefield import events
 from sycamorefield import kvclient
-from sycamorefield import rulebook
+from sycamorefield import rulecache
 from sycamorefield import rules
 
-TRIES = 4
-RETRY_AFTER = 1.0
+MAX_ATTEMPTS = 4
+RETRY_AFTER_S = 1.0
 
 Edit = typing.Callable[[list[rules.Rule]],
                        result.Result[list[rules.Rule], errors.Problem]]
@@ -27,71 +27,71 @@
 class RuleAdmin:
     """Apply operators' edits to the stored rules."""
 
-    def __init__(self, kv: kvclient.Client, book: rulebook.Rulebook,
+    def __init__(self, kv: kvclient.Client, rule_cache: rulecache.RuleCache,
                  operator: str) -> None:
         self.kv = kv
-        self.book = book
+        self.rule_cache = rule_cache
         self.operator = operator
 
     def read(self) -> result.Result[rules.RuleSet, errors.Problem]:
         """Return the stored rules."""
-        got = self.kv.get(rulebook.KEY)
+        got = self.kv.get(rulecache.RULES_KEY)
         if not isinstance(got, result.Success):
             return result.Failure(self._unavailable(got.failure()))
         item = got.unwrap()
         if item is None:
             return result.Success(rules.RuleSet())
-        return result.Success(rulebook.parse(item.value, item.mod_revision))
+        return result.Success(rulecache.parse(item.value, item.mod_revision))
 
-    def change(self, edit: Edit, expected: int | None = None
-               ) -> result.Result[rules.RuleSet, errors.Problem]:
+    def apply_edit(self, edit: Edit, expected: int | None = None
+                   ) -> result.Result[rules.RuleSet, errors.Problem]:
         """Apply edit to the stored rules; return the rules written."""
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             current = self.read()
             if not isinstance(current, result.Success):
                 return current
-            now = current.unwrap()
-            if expected is not None and expected != now.revision:
+            stored = current.unwrap()
+            if expected is not None and expected != stored.revision:
                 return result.Failure(errors.problem(
-                    errors.STALE_REVISION, current=now.revision,
+                    errors.STALE_REVISION, current=stored.revision,
                     expected=expected))
-            edited = edit(list(now.rules))
+            edited = edit(list(stored.rules))
             if not isinstance(edited, result.Success):
                 return result.Failure(edited.failure())
-            value = rulebook.encode(edited.unwrap())
-            swap = self.kv.cas(rulebook.KEY, now.revision, value)
+            value = rulecache.encode(edited.unwrap())
+            swap = self.kv.cas(rulecache.RULES_KEY, stored.revision, value)
             if isinstance(swap, result.Success):
                 outcome = swap.unwrap()
                 if outcome.succeeded:
-                    return result.Success(self._accepted(
+                    return result.Success(self._publish(
                         rules.RuleSet(outcome.revision,
                                       tuple(edited.unwrap()))))
                 events.emit(events.RULES_CONFLICT, operator=self.operator,
-                            revision=now.revision)
+                            revision=stored.revision)
                 continue
             failure = swap.failure()
             if not failure.maybe_applied:
                 return result.Failure(self._unavailable(failure))
             # The reply was lost: the write may hold.  If the stored value
             # is ours, the change was accepted; otherwise try again.
-            back = self.kv.get(rulebook.KEY).value_or(None)
-            if back is not None and back.value == value:
-                return result.Success(self._accepted(
-                    rulebook.parse(back.value, back.mod_revision)))
+            read_back = self.kv.get(rulecache.RULES_KEY).value_or(None)
+            if read_back is not None and read_back.value == value:
+                return result.Success(self._publish(
+                    rulecache.parse(read_back.value, read_back.mod_revision)))
         return result.Failure(errors.problem(
-            errors.STORE_UNAVAILABLE, retry_after=RETRY_AFTER,
+            errors.STORE_UNAVAILABLE, retry_after=RETRY_AFTER_S,
             detail="too many concurrent changes"))
 
-    def _accepted(self, ruleset: rules.RuleSet) -> rules.RuleSet:
+    def _publish(self, ruleset: rules.RuleSet) -> rules.RuleSet:
         events.emit(events.RULES_CHANGED, operator=self.operator,
                     revision=ruleset.revision, rules=ruleset.names())
-        self.book.offer(ruleset)
+        self.rule_cache.update_if_newer(ruleset)
         return ruleset
 
     @staticmethod
     def _unavailable(failure: kvclient.KvError) -> errors.Problem:
         return errors.problem(errors.STORE_UNAVAILABLE,
-                              retry_after=RETRY_AFTER, detail=failure.status)
+                              retry_after=RETRY_AFTER_S, detail=failure.status)
 
 
 def add(rule: rules.Rule, position: int | None) -> Edit:
@@ -101,8 +101,8 @@
         if any(r.name == rule.name for r in current):
             return result.Failure(errors.problem(errors.DUPLICATE_RULE,
                                                  name=rule.name))
-        at = len(current) if position is None else position
-        return result.Success(current[:at] + [rule] + current[at:])
+        index = len(current) if position is None else position
+        return result.Success(current[:index] + [rule] + current[index:])
     return edit
 
 
@@ -110,11 +110,11 @@
     """Return an edit that removes the named rule."""
     def edit(current: list[rules.Rule]
              ) -> result.Result[list[rules.Rule], errors.Problem]:
-        kept = [r for r in current if r.name != name]
-        if len(kept) == len(current):
+        remaining = [r for r in current if r.name != name]
+        if len(remaining) == len(current):
             return result.Failure(errors.problem(errors.UNKNOWN_RULE,
                                                  name=name))
-        return result.Success(kept)
+        return result.Success(remaining)
     return edit
 
 
@@ -122,12 +122,13 @@
     """Return an edit that moves the named rule to position."""
     def edit(current: list[rules.Rule]
              ) -> result.Result[list[rules.Rule], errors.Problem]:
-        found = [r for r in current if r.name == name]
-        if not found:
+        moved = [r for r in current if r.name == name]
+        if not moved:
             return result.Failure(errors.problem(errors.UNKNOWN_RULE,
                                                  name=name))
-        kept = [r for r in current if r.name != name]
-        return result.Success(kept[:position] + found + kept[position:])
+        remaining = [r for r in current if r.name != name]
+        return result.Success(
+            remaining[:position] + moved + remaining[position:])
     return edit
 
 
--- a/sycamorefield/rules.py
+++ b/sycamorefield/rules.py
@@ -53,7 +53,7 @@
     work: str | None = None
     kind: str | None = None
 
-    def holds(self, customer: str, work: str, kind: str) -> bool:
+    def matches(self, customer: str, work: str, kind: str) -> bool:
         """Return whether a request of this customer, work and kind matches."""
         return ((self.customer is None or self.customer == customer)
                 and (self.work is None or self.work == work)
@@ -111,7 +111,7 @@
     def decide(self, customer: str, work: str, kind: str) -> Decision:
         """Return the decision of the first matching rule."""
         for rule in self.rules:
-            if rule.when.holds(customer, work, kind):
+            if rule.when.matches(customer, work, kind):
                 return Decision(rule.name, rule.then)
         return DEFAULT_DECISION
 
--- a/sycamorefield/strategy.py
+++ b/sycamorefield/strategy.py
@@ -19,16 +19,18 @@
     name: str
     placement: placement.Policy
     eviction: eviction.Eviction
-    routing: routing.Choice
+    routing: routing.LoadBalancingPolicy
 
 
 def named(name: str, seed: int = 1) -> Strategy:
     """Return the strategy of a name; KeyError if there is none."""
     return {
         "guarded": Strategy(name, placement.Guarded(seed),
-                            eviction.Fewest(), routing.LeastExpected(seed)),
+                            eviction.Fewest(),
+                            routing.LeastExpectedSlowdown(seed)),
         "spread": Strategy(name, placement.Spread(), eviction.Fewest(),
-                           routing.BetterOfTwo(seed)),
+                           routing.PowerOfTwoChoices(seed)),
         "first-fit": Strategy(name, placement.FirstFit(),
-                              eviction.FirstTasks(), routing.Blind(seed)),
+                              eviction.FirstTasks(),
+                              routing.RandomChoice(seed)),
     }[name]
