--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -84,7 +84,7 @@
     """Measure one fleet size, idle and with running tasks."""
     os.makedirs(directory)
     timings = yaml.safe_load(settings.sample_text(
-        settings.DEFAULT))["timings"]
+        settings.DEFAULT_SAMPLE))["timings"]
     timings.update(report_seconds=report, task_lease_seconds=lease)
     deploy = launch.Deployment.from_sample(
         directory, base_port, entries=1, cells=8, quiet_share=0.0,
--- a/bench/starts.py
+++ b/bench/starts.py
@@ -116,7 +116,7 @@
 
 
 def machines(count: int, begun: dict[str, float]
-             ) -> tuple[list[options.Machine], list[grpc.Server]]:
+             ) -> tuple[list[options.WorkerSpec], list[grpc.Server]]:
     """Start answering workers; return them and their servers."""
     out, servers = [], []
     for number in range(count):
@@ -125,8 +125,8 @@
         port = server.add_insecure_port("127.0.0.1:0")
         server.start()
         servers.append(server)
-        out.append(options.Machine(f"w{number}", "z", "r", port, 0,
-                                   options.Capacity(1e6, 10**9, 0), 10**6))
+        out.append(options.WorkerSpec(f"w{number}", "z", "r", port, 0,
+                                      options.Capacity(1e6, 10**9, 0), 10**6))
     return out, servers
 
 
@@ -196,7 +196,7 @@
     with tempfile.TemporaryDirectory() as tmp:
         path = os.path.join(tmp, "settings.yaml")
         with open(path, "w", encoding="utf-8") as handle:
-            handle.write(settings.sample_text(settings.DEFAULT).replace(
+            handle.write(settings.sample_text(settings.DEFAULT_SAMPLE).replace(
                 "base_port: 17400", "base_port: 28400").replace(
                 "log_dir: run/coral-sea/logs", f"log_dir: {tmp}"))
         opts = settings.load(path).unwrap()
--- a/sycamorefield/backend.py
+++ b/sycamorefield/backend.py
@@ -16,13 +16,14 @@
 from sycamorefield import options
 from sycamorefield import worker
 
-LEAVING_LIMIT = 3.0
+LEAVING_GRACE_S = 3.0
 
 
 class Backend:
     """The backend server's HTTP side: serve work, count what it served."""
 
-    def __init__(self, machine: worker.Machine, opts: options.Options) -> None:
+    def __init__(self, machine: worker.WorkerServer,
+                 opts: options.Options) -> None:
         self.machine = machine
         self.opts = opts
 
@@ -37,7 +38,7 @@
             raise cherrypy.HTTPError(404, f"no latency work {name!r}")
         time.sleep(self.machine.service_seconds(spec.service_ms))
         key = str(body.get("idempotency_key") or "")
-        late = self._note(key, spec)
+        late = self._record_served_request(key, spec)
         events.emit(events.REQUEST_SERVED, request_id=body.get("request_id"),
                     key=key, work=name, late_after_leaving=late)
         return {"request_id": body.get("request_id"),
@@ -45,7 +46,7 @@
                 "result": f"{name} done for {body.get('customer')}",
                 "payload": body.get("payload")}
 
-    def _note(self, key: str, spec: options.Work) -> bool:
+    def _record_served_request(self, key: str, spec: options.Work) -> bool:
         # Checked mode: the backend is the one place that sees every run of
         # a request, so a second run of a non-idempotent key, or new work
         # past the grace after it was marked leaving, is caught here.
@@ -57,7 +58,7 @@
                 m.served_by_key[key] += 1
                 repeated = m.served_by_key[key] > 1 and not spec.idempotent
             late = bool(m.leaving_since) and (
-                time.time() - m.leaving_since > LEAVING_LIMIT)
+                time.time() - m.leaving_since > LEAVING_GRACE_S)
             if late:
                 m.served_after_leaving += 1
         if repeated:
@@ -78,7 +79,7 @@
                     "served_after_leaving": m.served_after_leaving,
                     "repeated_keys": sorted(k for k, n in
                                             m.served_by_key.items() if n > 1),
-                    "peak": dataclasses.asdict(m.peak),
+                    "peak": dataclasses.asdict(m.peak_usage),
                     "capacity": dataclasses.asdict(m.spec.capacity),
                     "tasks": len(m.tasks)}
 
@@ -93,11 +94,12 @@
 
 
 def serve(opts: options.Options, name: str
-          ) -> tuple[grpc.Server, worker.Machine]:
+          ) -> tuple[grpc.Server, worker.WorkerServer]:
     """Start a worker's gRPC side and its backend; return the former."""
     spec = opts.machine(name)
     server, machine = worker.serve_grpc(opts.host, spec)
-    machine.misdeclared = {w.name: w.misdeclared for w in opts.work.values()}
-    machine.crashing = {w.name for w in opts.work.values() if w.crashes}
+    machine.misdeclared_by_work = {
+        w.name: w.misdeclared for w in opts.work.values()}
+    machine.crashing_work = {w.name for w in opts.work.values() if w.crashes}
     httpserver.start(opts.host, spec.http_port, Backend(machine, opts))
     return server, machine
--- a/sycamorefield/cell.py
+++ b/sycamorefield/cell.py
@@ -86,7 +86,7 @@
         self.counters = counters
         self.links = {
             m.name: workerlink.WorkerLink(opts, m, owner, fence, self, holds)
-            for m in opts.machines_of(number)}
+            for m in opts.cell_machines(number)}
         self.wake = threading.Event()
         self.stopped = threading.Event()
         self.loaded = False
@@ -151,7 +151,7 @@
 
     def _demand(self, record: jobtable.JobRecord) -> options.Capacity:
         work = self.opts.work.get(record.work)
-        return work.demand if work else options.ZERO
+        return work.demand if work else options.ZERO_CAPACITY
 
     def place_once(self) -> int:
         """Place what can be placed now; return how many jobs that is.
@@ -168,7 +168,7 @@
     def _queue_strays(self) -> None:
         """Queue again what is placed on workers that are not ours to ask."""
         if self.strays and (time.monotonic() - self.loaded_at
-                            > self.opts.timings.lapse):
+                            > self.opts.timings.orphan_timeout_s):
             for job_id in self.strays:
                 record = self.table.get(job_id)
                 if record is not None and record.state == jobtable.PLACED:
@@ -549,7 +549,7 @@
         Quiet workers do not count: they take no noisy work, and a job
         that moved here for their room would wait for nothing.
         """
-        best = options.ZERO
+        best = options.ZERO_CAPACITY
         for candidate in self._candidates():
             if candidate.quiet:
                 continue
--- a/sycamorefield/cells.py
+++ b/sycamorefield/cells.py
@@ -48,7 +48,7 @@
         """Start running a cell this process now owns."""
         table = jobtable.JobTable(
             self.kv, claim.cell, self.name, claim.fence,
-            self.opts.commit_pace, self.opts.timings.job_retention)
+            self.opts.commit_interval_s, self.opts.timings.job_retention)
         owned = cell_mod.Cell(self.opts, claim.cell, claim.fence, table,
                               self.strategy, self.name, self.members.holds,
                               self.counters)
--- a/sycamorefield/channels.py
+++ b/sycamorefield/channels.py
@@ -14,12 +14,12 @@
 
 import grpc
 
-RECONNECT_FIRST_MS = 100
-RECONNECT_LONGEST_MS = 1000
-OPTIONS = (
-    ("grpc.initial_reconnect_backoff_ms", RECONNECT_FIRST_MS),
-    ("grpc.min_reconnect_backoff_ms", RECONNECT_LONGEST_MS),
-    ("grpc.max_reconnect_backoff_ms", RECONNECT_LONGEST_MS),
+INITIAL_BACKOFF_MS = 100
+MAX_BACKOFF_MS = 1000
+CHANNEL_OPTIONS = (
+    ("grpc.initial_reconnect_backoff_ms", INITIAL_BACKOFF_MS),
+    ("grpc.min_reconnect_backoff_ms", MAX_BACKOFF_MS),
+    ("grpc.max_reconnect_backoff_ms", MAX_BACKOFF_MS),
 )
 
 
@@ -35,4 +35,4 @@
 
 def connect(target: str) -> grpc.Channel:
     """Return a channel to host:port."""
-    return grpc.insecure_channel(target, options=OPTIONS)
+    return grpc.insecure_channel(target, options=CHANNEL_OPTIONS)
--- a/sycamorefield/cli.py
+++ b/sycamorefield/cli.py
@@ -43,11 +43,11 @@
 EXIT_NOT_FOUND = 3
 
 
-def _options(path: str | None) -> options.Options:
-    return _or_exit(settings.load(path))
+def _load_options(path: str | None) -> options.Options:
+    return _unwrap_or_exit(settings.load(path))
 
 
-def _or_exit(loaded: result.Result[T, list[errors.Finding]]) -> T:
+def _unwrap_or_exit(loaded: result.Result[T, list[errors.Finding]]) -> T:
     """Return what was loaded, or print the findings and exit."""
     if isinstance(loaded, result.Success):
         return loaded.unwrap()
@@ -69,7 +69,7 @@
 @app.command
 def check(path: str | None = None) -> None:
     """Check a settings file and report every finding together."""
-    opts = _options(path)
+    opts = _load_options(path)
     print(f"settings good: {opts.deployment}, {len(opts.machines)} workers, "
           f"{len(opts.entries)} entry processes")
 
@@ -77,9 +77,10 @@
 @app.command
 def check_policy(path: str) -> None:
     """Check a file of policy options and report every finding together."""
-    policy = _or_exit(policysettings.load(path))
-    off = [name for name, on in dataclasses.asdict(policy).items() if not on]
-    print(f"policy good, switched off: {', '.join(off) or 'nothing'}")
+    policy = _unwrap_or_exit(policysettings.load(path))
+    disabled = [name for name, on in dataclasses.asdict(policy).items()
+                if not on]
+    print(f"policy good, switched off: {', '.join(disabled) or 'nothing'}")
 
 
 @app.command
@@ -87,7 +88,7 @@
         str | None, cyclopts.Parameter(name="--settings")] = None,
         policy: str = "guarded") -> None:
     """Run an entry process."""
-    opts = _options(settings_path)
+    opts = _load_options(settings_path)
     spec = opts.entry(name)
     events.configure(name, spec.zone, opts.log_dir)
     process = entry_mod.Entry(opts, name, policy)
@@ -111,7 +112,7 @@
 def kv(*, settings_path: typing.Annotated[
         str | None, cyclopts.Parameter(name="--settings")] = None) -> None:
     """Run the stand-in of the platform's key-value service."""
-    opts = _options(settings_path)
+    opts = _load_options(settings_path)
     events.configure("kv", "", opts.log_dir)
     server, store = kvstore.serve(opts.host, opts.kv_port,
                                   opts.kv_writes_per_second)
@@ -126,7 +127,7 @@
 def worker(name: str, *, settings_path: typing.Annotated[
         str | None, cyclopts.Parameter(name="--settings")] = None) -> None:
     """Run the stand-in of one worker and its backend server."""
-    opts = _options(settings_path)
+    opts = _load_options(settings_path)
     spec = opts.machine(name)
     events.configure(name, spec.zone, opts.log_dir)
     server, machine = backend.serve(opts, name)
@@ -143,7 +144,7 @@
 def vm_list(*, settings_path: typing.Annotated[
         str | None, cyclopts.Parameter(name="--settings")] = None) -> None:
     """Run the stand-in of the platform's list of live and leaving VMs."""
-    opts = _options(settings_path)
+    opts = _load_options(settings_path)
     events.configure("vm-list", "", opts.log_dir)
     vmlist.serve(opts)
     events.emit(events.PROCESS_STARTED, role="vm-list",
@@ -158,7 +159,7 @@
         str | None, cyclopts.Parameter(name="--settings")] = None,
         seconds: float | None = None, out: str | None = None) -> None:
     """Drive the deployment's mixed load and print what it measured."""
-    opts = _options(settings_path)
+    opts = _load_options(settings_path)
     events.configure("load", "", opts.log_dir)
     report = load_mod.run(opts, seconds)
     text = json.dumps(report, indent=2)
@@ -193,7 +194,7 @@
     process; without any, those of the settings' folder.
     """
     sources = [*paths, *([log_dir] if log_dir else [])]
-    reading = _read_logs(sources or [_options(settings_path).log_dir])
+    reading = _read_logs(sources or [_load_options(settings_path).log_dir])
     lines = timeline_mod.of_job(reading.lines, job_id, request_id)
     if out:
         count = timeline_mod.write(lines, out)
@@ -214,17 +215,17 @@
         print("name the logs to read: files or folders", file=sys.stderr)
         sys.exit(EXIT_SETTINGS)
     reading = _read_logs(paths)
-    found = storyreader.collect(reading.lines, job_id)
-    if found is None:
+    history = storyreader.collect(reading.lines, job_id)
+    if history is None:
         print(f"no line of these {len(reading.lines)} events names job "
               f"{job_id}", file=sys.stderr)
         sys.exit(EXIT_NOT_FOUND)
-    for line in explain_mod.render(found):
+    for line in explain_mod.render(history):
         print(line)
 
 
-def _admin(url: str, method: str, path: str,
-           body: dict[str, object] | None = None) -> None:
+def _call_admin(url: str, method: str, path: str,
+                body: dict[str, object] | None = None) -> None:
     http = urllib3.PoolManager()
     reply = http.request(method, url.rstrip("/") + path,
                          body=json.dumps(body or {}).encode(),
@@ -238,7 +239,7 @@
 @rules_app.command(name="list")
 def rules_list(*, url: str = "http://127.0.0.1:17410") -> None:
     """List the rules in force, with their revision."""
-    _admin(url, "GET", "/admin/rules")
+    _call_admin(url, "GET", "/admin/rules")
 
 
 @rules_app.command(name="add")
@@ -247,7 +248,7 @@
               position: int | None = None,
               expected_revision: int | None = None) -> None:
     """Add a rule; --when and --then take JSON objects."""
-    _admin(url, "POST", "/admin/rules", {
+    _call_admin(url, "POST", "/admin/rules", {
         "rule": {"name": name, "when": json.loads(when),
                  "then": json.loads(then)},
         "position": position, "expected_revision": expected_revision})
@@ -257,8 +258,8 @@
 def rules_retire(name: str, *, url: str = "http://127.0.0.1:17410",
                  expected_revision: int | None = None) -> None:
     """Retire a rule by name."""
-    _admin(url, "DELETE", f"/admin/rules/{name}",
-           {"expected_revision": expected_revision})
+    _call_admin(url, "DELETE", f"/admin/rules/{name}",
+                {"expected_revision": expected_revision})
 
 
 @rules_app.command(name="move")
@@ -266,8 +267,8 @@
                url: str = "http://127.0.0.1:17410",
                expected_revision: int | None = None) -> None:
     """Move a rule to a new position (0 is first)."""
-    _admin(url, "POST", f"/admin/rules/{name}/move",
-           {"position": position, "expected_revision": expected_revision})
+    _call_admin(url, "POST", f"/admin/rules/{name}/move",
+                {"position": position, "expected_revision": expected_revision})
 
 
 @faults_app.command(name="kv")
@@ -276,7 +277,7 @@
         down: bool = False, delay_ms: int = 0,
         lose_reply_ratio: float = 0.0) -> None:
     """Make the key-value stand-in down, slow or lose replies."""
-    opts = _options(settings_path)
+    opts = _load_options(settings_path)
     client = kvclient.Client(opts.kv_target)
     print(client.set_faults(pb.KvFaults(
         down=down, delay_ms=delay_ms, lose_reply_ratio=lose_reply_ratio)))
--- a/sycamorefield/idempotency.py
+++ b/sycamorefield/idempotency.py
@@ -101,7 +101,7 @@
         return self._existing(got.unwrap(), request_id)
 
     def _swap(self, key: str, revision: int, value: bytes,
-              delete: bool = False) -> kvclient.Outcome[kvclient.Swap]:
+              delete: bool = False) -> kvclient.Outcome[kvclient.CasResult]:
         """Write a record that is kept for as long as retries may come."""
         lease = self.retention.lease()
         if not isinstance(lease, result.Success):
--- a/sycamorefield/jobs.py
+++ b/sycamorefield/jobs.py
@@ -31,7 +31,7 @@
 
     def can_run(self, work: options.Work) -> bool:
         """Return whether any worker of the fleet could ever hold the work."""
-        return any(m.capacity.fits(options.ZERO, work.demand)
+        return any(m.capacity.fits(options.ZERO_CAPACITY, work.demand)
                    for m in self.opts.machines)
 
     def accept(self, record: jobtable.JobRecord) -> Outcome:
--- a/sycamorefield/kvstore.py
+++ b/sycamorefield/kvstore.py
@@ -22,9 +22,9 @@
 from sycamorefield import sycamorefield_pb2 as pb
 from sycamorefield import sycamorefield_pb2_grpc as pb_grpc
 
-HISTORY = 20000
-EXPIRY_PERIOD = 0.05
-WATCH_POLL = 0.2
+MAX_HISTORY_EVENTS = 20000
+EXPIRY_PERIOD_S = 0.05
+WATCH_POLL_S = 0.2
 
 
 @dataclasses.dataclass
@@ -44,7 +44,7 @@
     prefix: bool
     events: "queue.Queue[pb.WatchEvent | None]"
 
-    def wants(self, key: str) -> bool:
+    def matches(self, key: str) -> bool:
         """Return whether a change to key concerns this watch."""
         return key.startswith(self.key) if self.prefix else key == self.key
 
@@ -55,14 +55,15 @@
     def __init__(self, per_second: int) -> None:
         self.per_second = per_second
         self.tokens = float(per_second)
-        self.stamp = time.monotonic()
+        self.refilled_at = time.monotonic()
 
     def take(self) -> bool:
         """Take one token; return False when the budget is spent."""
         now = time.monotonic()
-        self.tokens = min(float(self.per_second),
-                          self.tokens + (now - self.stamp) * self.per_second)
-        self.stamp = now
+        self.tokens = min(
+            float(self.per_second),
+            self.tokens + (now - self.refilled_at) * self.per_second)
+        self.refilled_at = now
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
@@ -77,34 +78,34 @@
         self.items: dict[str, pb.Item] = {}
         self.revision = 0
         self.leases: dict[int, Lease] = {}
-        self.next_lease = 1000
+        self.last_lease_id = 1000
         self.watchers: list[Watcher] = []
         self.history: collections.deque[pb.WatchEvent] = collections.deque(
-            maxlen=HISTORY)
-        self.limiter = WriteLimiter(writes_per_second)
+            maxlen=MAX_HISTORY_EVENTS)
+        self.write_limiter = WriteLimiter(writes_per_second)
         self.faults = pb.KvFaults()
         self.random = random.Random(seed)
         self.calls: collections.Counter[str] = collections.Counter()
         self.stopped = threading.Event()
 
-    def _enter(self, context: grpc.ServicerContext, name: str,
-               write: bool = False) -> None:
+    def _begin_call(self, context: grpc.ServicerContext, name: str,
+                    write: bool = False) -> None:
         self.calls[name] += 1
         if self.faults.delay_ms:
             time.sleep(self.faults.delay_ms / 1000.0)
-        if self.faults.down or self._cut(context):
+        if self.faults.down or self._is_cut_off(context):
             context.abort(grpc.StatusCode.UNAVAILABLE, "stand-in is down")
-        if write and not self.limiter.take():
+        if write and not self.write_limiter.take():
             context.abort(grpc.StatusCode.RESOURCE_EXHAUSTED,
                           "write budget spent")
 
-    def _cut(self, context: grpc.ServicerContext) -> bool:
+    def _is_cut_off(self, context: grpc.ServicerContext) -> bool:
         """Return whether the fault knobs cut this call's client off."""
         return bool(self.faults.cut) and any(
-            key == kvclient.CLIENT_METADATA and value in self.faults.cut
+            key == kvclient.CLIENT_METADATA_KEY and value in self.faults.cut
             for key, value in context.invocation_metadata())
 
-    def _leave(self, context: grpc.ServicerContext) -> None:
+    def _maybe_lose_reply(self, context: grpc.ServicerContext) -> None:
         # A reply lost after its write took effect: the caller sees an error
         # although the write holds, as the brief says the platform does.
         if (self.faults.lose_reply_ratio
@@ -115,7 +116,7 @@
         event = pb.WatchEvent(kind=kind, item=item, revision=self.revision)
         self.history.append(event)
         for watcher in self.watchers:
-            if watcher.wants(item.key):
+            if watcher.matches(item.key):
                 watcher.events.put(event)
 
     def _put_locked(self, key: str, value: bytes, lease: int) -> pb.Item:
@@ -149,29 +150,29 @@
 
     def Range(self, request: pb.RangeRequest,
               context: grpc.ServicerContext) -> pb.RangeResponse:
-        self._enter(context, "range")
+        self._begin_call(context, "range")
         with self.lock:
             if request.prefix:
                 found = [item for key, item in sorted(self.items.items())
                          if key.startswith(request.key)]
             else:
-                one = self.items.get(request.key)
-                found = [one] if one is not None else []
+                item_at_key = self.items.get(request.key)
+                found = [item_at_key] if item_at_key is not None else []
             return pb.RangeResponse(items=found, revision=self.revision)
 
     def Put(self, request: pb.PutRequest,
             context: grpc.ServicerContext) -> pb.PutResponse:
-        self._enter(context, "put", write=True)
+        self._begin_call(context, "put", write=True)
         with self.lock:
             self._check_lease(request.lease, context)
             self._put_locked(request.key, request.value, request.lease)
             revision = self.revision
-        self._leave(context)
+        self._maybe_lose_reply(context)
         return pb.PutResponse(revision=revision)
 
     def CompareAndSwap(self, request: pb.CasRequest,
                        context: grpc.ServicerContext) -> pb.CasResponse:
-        self._enter(context, "cas", write=True)
+        self._begin_call(context, "cas", write=True)
         with self.lock:
             current = self.items.get(request.key)
             current_rev = current.mod_revision if current else 0
@@ -187,35 +188,35 @@
                 item = self._put_locked(request.key, request.value,
                                         request.lease)
             revision = self.revision
-        self._leave(context)
+        self._maybe_lose_reply(context)
         return pb.CasResponse(succeeded=True, revision=revision, current=item)
 
     def Delete(self, request: pb.DeleteRequest,
                context: grpc.ServicerContext) -> pb.DeleteResponse:
-        self._enter(context, "delete", write=True)
+        self._begin_call(context, "delete", write=True)
         with self.lock:
             keys = ([k for k in self.items if k.startswith(request.key)]
                     if request.prefix else [request.key])
             deleted = sum(1 for key in keys if self._delete_locked(key))
             revision = self.revision
-        self._leave(context)
+        self._maybe_lose_reply(context)
         return pb.DeleteResponse(deleted=deleted, revision=revision)
 
     def LeaseGrant(self, request: pb.LeaseGrantRequest,
                    context: grpc.ServicerContext) -> pb.LeaseGrantResponse:
-        self._enter(context, "lease-grant", write=True)
+        self._begin_call(context, "lease-grant", write=True)
         with self.lock:
-            self.next_lease += 1
-            lease_id = self.next_lease
+            self.last_lease_id += 1
+            lease_id = self.last_lease_id
             self.leases[lease_id] = Lease(
                 request.ttl_ms, time.monotonic() + request.ttl_ms / 1000.0)
-        self._leave(context)
+        self._maybe_lose_reply(context)
         return pb.LeaseGrantResponse(lease=lease_id, ttl_ms=request.ttl_ms)
 
     def LeaseKeepAlive(self, request: pb.LeaseKeepAliveRequest,
                        context: grpc.ServicerContext
                        ) -> pb.LeaseKeepAliveResponse:
-        self._enter(context, "lease-keepalive")
+        self._begin_call(context, "lease-keepalive")
         with self.lock:
             lease = self.leases.get(request.lease)
             if lease is None:
@@ -227,10 +228,10 @@
 
     def LeaseRevoke(self, request: pb.LeaseRevokeRequest,
                     context: grpc.ServicerContext) -> pb.LeaseRevokeResponse:
-        self._enter(context, "lease-revoke", write=True)
+        self._begin_call(context, "lease-revoke", write=True)
         with self.lock:
             self._expire_locked(request.lease)
-        self._leave(context)
+        self._maybe_lose_reply(context)
         return pb.LeaseRevokeResponse()
 
     def _expire_locked(self, lease_id: int) -> None:
@@ -243,21 +244,21 @@
     def Watch(self, request: pb.WatchRequest,
               context: grpc.ServicerContext
               ) -> typing.Iterator[pb.WatchEvent]:
-        self._enter(context, "watch")
+        self._begin_call(context, "watch")
         watcher = Watcher(request.key, request.prefix, queue.Queue())
         with self.lock:
             backlog = [event for event in self.history
                        if request.start_revision
                        and event.revision >= request.start_revision
-                       and watcher.wants(event.item.key)]
+                       and watcher.matches(event.item.key)]
             self.watchers.append(watcher)
         try:
             yield from backlog
             while context.is_active() and not self.stopped.is_set():
-                if self.faults.down or self._cut(context):
+                if self.faults.down or self._is_cut_off(context):
                     return
                 try:
-                    event = watcher.events.get(timeout=WATCH_POLL)
+                    event = watcher.events.get(timeout=WATCH_POLL_S)
                 except queue.Empty:
                     continue
                 if event is None:
@@ -282,12 +283,13 @@
 
     def expire_forever(self) -> None:
         """Lapse leases whose TTL has run out, until stopped."""
-        while not self.stopped.wait(EXPIRY_PERIOD):
+        while not self.stopped.wait(EXPIRY_PERIOD_S):
             now = time.monotonic()
             with self.lock:
-                lapsed = [lease_id for lease_id, lease in self.leases.items()
-                          if lease.expires_at <= now]
-                for lease_id in lapsed:
+                expired_ids = [
+                    lease_id for lease_id, lease in self.leases.items()
+                    if lease.expires_at <= now]
+                for lease_id in expired_ids:
                     self._expire_locked(lease_id)
 
 
--- a/sycamorefield/load.py
+++ b/sycamorefield/load.py
@@ -20,32 +20,33 @@
 from sycamorefield import metrics
 from sycamorefield import options
 
-CALLERS = 16
-JOB_WAIT = 90.0
-WAVE_SPAN = 0.75
+MAX_CONCURRENT_REQUESTS = 16
+JOB_WAIT_S = 90.0
+SUBMISSION_SHARE = 0.75
 DIRECT_SAMPLES = 200
-SUBMIT_TRIES = 8
-COME_BACK = (0, 503, 504)
-NOT_RUN = ("not-run", "no-backend", "rejected", "stopping",
-           "store-unavailable")
+MAX_ATTEMPTS = 8
+RETRY_STATUSES = (0, 503, 504)
+NOT_RUN_ERRORS = ("not-run", "no-backend", "rejected", "stopping",
+                  "store-unavailable")
 
 
-class Caller:
+class EntryClient:
     """Send requests to the entry processes in turn, as the balancer does."""
 
     def __init__(self, opts: options.Options) -> None:
         self.opts = opts
-        self.http = urllib3.PoolManager(maxsize=CALLERS * 2, block=False)
+        self.http = urllib3.PoolManager(
+            maxsize=MAX_CONCURRENT_REQUESTS * 2, block=False)
         self.urls = [f"http://{opts.host}:{e.http_port}"
                      for e in opts.entries]
-        self.turn = 0
+        self.request_count = 0
         self.lock = threading.Lock()
 
     def next_url(self) -> str:
         """Return the next entry process's URL."""
         with self.lock:
-            self.turn += 1
-            return self.urls[self.turn % len(self.urls)]
+            self.request_count += 1
+            return self.urls[self.request_count % len(self.urls)]
 
     def post(self, path: str, body: dict[str, object]
              ) -> tuple[int, dict[str, object]]:
@@ -88,78 +89,79 @@
             "payload") != {"note": request_id}):
         events.emit(events.INVARIANT_BROKEN, invariant="own-answer",
                     request_id=request_id, got=body)
-    if body.get("error") in NOT_RUN:
+    if body.get("error") in NOT_RUN_ERRORS:
         events.emit(events.CALLER_TOLD_NOT_RUN, request_id=request_id,
                     key=key or "")
 
 
-def _request(caller: Caller, rng: random.Random, opts: options.Options,
-             latencies: metrics.Latencies, outcomes: dict[str, int],
-             lock: threading.Lock) -> None:
+def _send_request(client: EntryClient, rng: random.Random,
+                  opts: options.Options, latencies: metrics.Latencies,
+                  outcomes: dict[str, int], lock: threading.Lock) -> None:
     with lock:
         work = rng.choice(_latency_work(opts))
         customer = rng.choice(opts.load.customers)
         key = None if work.idempotent else uuid.UUID(
             int=rng.getrandbits(128)).hex
-    began = time.monotonic()
+    started = time.monotonic()
     request_id = uuid.uuid4().hex
-    status, body = caller.post("/v1/requests", {
+    status, body = client.post("/v1/requests", {
         "customer": customer, "work": work.name, "request_id": request_id,
         "payload": {"note": request_id}, "idempotency_key": key})
-    elapsed = time.monotonic() - began
+    elapsed_s = time.monotonic() - started
     _check_answer(request_id, key, status, body)
     with lock:
         outcomes[str(status)] = outcomes.get(str(status), 0) + 1
     if status == 200:
-        latencies.record(work.name, elapsed)
+        latencies.record(work.name, elapsed_s)
 
 
-def _submit(caller: Caller, body: dict[str, object]) -> bool:
+def _submit_with_retries(client: EntryClient, body: dict[str, object]) -> bool:
     """Submit one job, coming back when told to; return if accepted."""
-    for _ in range(SUBMIT_TRIES):
-        status, answer = caller.post("/v1/jobs", body)
+    for _ in range(MAX_ATTEMPTS):
+        status, answer = client.post("/v1/jobs", body)
         if status == 202:
             return True
-        if status not in COME_BACK:
+        if status not in RETRY_STATUSES:
             return False
-        wait = answer.get("retry_after_seconds", 1.0)
-        time.sleep(float(wait) if isinstance(wait, int | float) else 1.0)
+        delay_s = answer.get("retry_after_seconds", 1.0)
+        time.sleep(float(delay_s) if isinstance(delay_s, int | float) else 1.0)
     return False
 
 
-def cancel(caller: Caller, job_id: str) -> bool:
+def cancel(client: EntryClient, job_id: str) -> bool:
     """Cancel one job, coming back when told to; return if it worked.
 
     An answer that says "come back" leaves open whether the job is
     cancelled; taken for a no, the job would be waited for in vain.
     """
-    for _ in range(SUBMIT_TRIES):
-        status = caller.delete(f"/v1/jobs/{job_id}")
-        if status not in COME_BACK:
+    for _ in range(MAX_ATTEMPTS):
+        status = client.delete(f"/v1/jobs/{job_id}")
+        if status not in RETRY_STATUSES:
             return status == 200
         time.sleep(1.0)
     return False
 
 
 @dataclasses.dataclass
-class Submitted:
+class SubmittedJobs:
     """The batch jobs accepted so far, and those cancelled again."""
 
     batch: list[str] = dataclasses.field(default_factory=list)
     cancelled: set[str] = dataclasses.field(default_factory=set)
 
 
-def _submit_jobs(caller: Caller, opts: options.Options, rng: random.Random,
-                 seconds: float, submitted: Submitted) -> None:
+def _submit_all_jobs(client: EntryClient, opts: options.Options,
+                     rng: random.Random, seconds: float,
+                     submitted: SubmittedJobs) -> None:
     """Submit the jobs in waves, cancelling a share of each wave."""
     batch = [w for w in opts.work.values() if w.kind == "batch"]
     standing = [w for w in opts.work.values() if w.kind == "standing"]
     plan = [w for w in standing for _ in range(opts.load.standing_jobs)]
     plan += [w for w in batch for _ in range(opts.load.batch_jobs)]
     waves = opts.load.batch_waves
-    began = time.monotonic()
+    started = time.monotonic()
     for wave in range(waves):
-        time.sleep(max(0.0, began + wave * seconds * WAVE_SPAN / waves
+        time.sleep(max(0.0, started + wave * seconds * SUBMISSION_SHARE / waves
                        - time.monotonic()))
         accepted = []
         for work in plan[wave::waves]:
@@ -168,44 +170,45 @@
             body: dict[str, object] = {
                 "customer": rng.choice(opts.load.customers),
                 "work": work.name, "job_id": job_id}
-            if _submit(caller, body) and work.kind == "batch":
+            if _submit_with_retries(client, body) and work.kind == "batch":
                 accepted.append(job_id)
         submitted.batch += accepted
         for job_id in rng.sample(accepted, int(len(accepted)
                                                * opts.load.cancel_share)):
-            if cancel(caller, job_id):
+            if cancel(client, job_id):
                 submitted.cancelled.add(job_id)
 
 
-def _direct(caller: Caller, opts: options.Options) -> dict[str, float]:
+def _measure_direct_calls(client: EntryClient, opts: options.Options
+                          ) -> dict[str, float]:
     work = _latency_work(opts)[0]
     machine = opts.machines[0]
     url = f"http://{opts.host}:{machine.http_port}/work/{work.name}"
     histogram = metrics.Latencies()
     for number in range(DIRECT_SAMPLES // 4):
-        began = time.monotonic()
+        started = time.monotonic()
         try:
-            caller.http.request("POST", url, body=json.dumps(
+            client.http.request("POST", url, body=json.dumps(
                 {"request_id": str(number), "customer": "direct"}),
                 headers={"Content-Type": "application/json"},
                 timeout=5.0, retries=False)
         except urllib3.exceptions.HTTPError:
             continue
-        histogram.record(work.name, time.monotonic() - began)
+        histogram.record(work.name, time.monotonic() - started)
     return histogram.summary().get(work.name, {})
 
 
-def _finished(caller: Caller, ids: list[str], wait: float
-              ) -> tuple[list[dict[str, object]], dict[str, object]]:
+def _wait_for_jobs(client: EntryClient, job_ids: list[str], wait_s: float
+                   ) -> tuple[list[dict[str, object]], dict[str, object]]:
     """Wait for jobs to finish; return those that did, and others' states."""
-    deadline = time.monotonic() + wait
+    deadline = time.monotonic() + wait_s
     done: dict[str, dict[str, object]] = {}
     others: dict[str, object] = {}
-    while time.monotonic() < deadline and len(done) < len(ids):
-        for job_id in ids:
+    while time.monotonic() < deadline and len(done) < len(job_ids):
+        for job_id in job_ids:
             if job_id in done:
                 continue
-            body = caller.get(caller.next_url() + f"/v1/jobs/{job_id}")
+            body = client.get(client.next_url() + f"/v1/jobs/{job_id}")
             if body.get("state") == "done":
                 done[job_id] = body
                 others.pop(job_id, None)
@@ -226,49 +229,50 @@
 def run(opts: options.Options, seconds: float | None = None) -> dict:
     """Drive the load for seconds (default from settings); return a report."""
     rng = random.Random(opts.load.seed)
-    caller = Caller(opts)
-    duration = seconds if seconds is not None else opts.load.seconds
+    client = EntryClient(opts)
+    duration_s = seconds if seconds is not None else opts.load.seconds
     latencies = metrics.Latencies()
     outcomes: dict[str, int] = {}
     lock = threading.Lock()
     # First, while every backend still takes work: these calls pass the
     # entry processes by, so nothing would keep them off a leaving one.
-    direct = _direct(caller, opts)
+    direct = _measure_direct_calls(client, opts)
     started = time.monotonic()
-    submitted = Submitted()
+    submitted = SubmittedJobs()
     submitter = threading.Thread(
-        target=_submit_jobs, daemon=True,
-        args=(caller, opts, random.Random(opts.load.seed + 1), duration,
+        target=_submit_all_jobs, daemon=True,
+        args=(client, opts, random.Random(opts.load.seed + 1), duration_s,
               submitted))
     submitter.start()
-    interval = 1.0 / opts.load.latency_per_second
-    with concurrent.futures.ThreadPoolExecutor(CALLERS) as pool:
-        due = time.monotonic()
-        while time.monotonic() - started < duration:
-            pool.submit(_request, caller, rng, opts, latencies, outcomes,
+    interval_s = 1.0 / opts.load.latency_per_second
+    with concurrent.futures.ThreadPoolExecutor(
+            MAX_CONCURRENT_REQUESTS) as pool:
+        next_send = time.monotonic()
+        while time.monotonic() - started < duration_s:
+            pool.submit(_send_request, client, rng, opts, latencies, outcomes,
                         lock)
-            due += interval
-            time.sleep(max(0.0, due - time.monotonic()))
-    submitter.join(JOB_WAIT)
-    ids = [j for j in submitted.batch if j not in submitted.cancelled]
-    waiting = time.monotonic()
-    records, unfinished = _finished(caller, ids, JOB_WAIT)
-    waited = time.monotonic() - waiting
-    entries = [caller.get(url + "/metrics") for url in caller.urls]
+            next_send += interval_s
+            time.sleep(max(0.0, next_send - time.monotonic()))
+    submitter.join(JOB_WAIT_S)
+    job_ids = [j for j in submitted.batch if j not in submitted.cancelled]
+    wait_started = time.monotonic()
+    records, unfinished = _wait_for_jobs(client, job_ids, JOB_WAIT_S)
+    waited_s = time.monotonic() - wait_started
+    entries = [client.get(url + "/metrics") for url in client.urls]
     evictions = 0
     for body in entries:
         counters = body.get("counters")
         if isinstance(counters, dict):
             evictions += int(counters.get("evictions", 0))
-    makespan = _makespan(records)
-    return {"deployment": opts.deployment, "seconds": duration,
+    makespan_s = _makespan(records)
+    return {"deployment": opts.deployment, "seconds": duration_s,
             "latency": latencies.summary(), "outcomes": outcomes,
-            "batch_submitted": len(ids), "batch_finished": len(records),
+            "batch_submitted": len(job_ids), "batch_finished": len(records),
             "batch_unfinished": unfinished,
             "batch_cancelled": len(submitted.cancelled),
-            "batch_per_minute": round(60 * len(records) / makespan, 1)
-            if makespan else 0.0,
-            "batch_wait_seconds": round(waited, 2), "evictions": evictions,
+            "batch_per_minute": round(60 * len(records) / makespan_s, 1)
+            if makespan_s else 0.0,
+            "batch_wait_seconds": round(waited_s, 2), "evictions": evictions,
             "direct": direct, "log_dir": opts.log_dir}
 
 
--- a/sycamorefield/options.py
+++ b/sycamorefield/options.py
@@ -33,15 +33,15 @@
                         self.accelerators - other.accelerators)
 
 
-ZERO = Capacity(0.0, 0, 0)
-MIN_COMMIT_PACE = 0.02
-START_WINDOW = 2.0
+ZERO_CAPACITY = Capacity(0.0, 0, 0)
+MIN_COMMIT_INTERVAL_S = 0.02
+START_WINDOW_S = 2.0
 # A call to a worker is given up on this long after its answer was due.
-REPORT_GRACE = 1.0
+REPORT_GRACE_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True)
-class Machine:
+class WorkerSpec:
     """A worker of the platform: where it stands and how to reach it."""
 
     name: str
@@ -71,7 +71,7 @@
     kind: str
     service_ms: float = 10.0
     idempotent: bool = True
-    demand: Capacity = ZERO
+    demand: Capacity = ZERO_CAPACITY
     run_seconds: float = 1.0
     noise: float = 0.0
     misdeclared: float = 1.0
@@ -97,13 +97,13 @@
     request_retention: float
 
     @property
-    def lapse(self) -> float:
+    def orphan_timeout_s(self) -> float:
         """Return after how long an unreachable worker runs nothing of ours.
 
         Its last start may be processed until the start window has passed
         by its own clock, and then runs for one task lease.
         """
-        return self.task_lease + START_WINDOW + self.clock_skew
+        return self.task_lease + START_WINDOW_S + self.clock_skew
 
 
 @dataclasses.dataclass(frozen=True)
@@ -129,11 +129,11 @@
     kv_port: int
     vm_list_port: int
     kv_writes_per_second: int
-    vm_list_lag: float
+    vm_list_lag_s: float
     log_dir: str
     zones: tuple[str, ...]
     entries: tuple[EntrySpec, ...]
-    machines: tuple[Machine, ...]
+    machines: tuple[WorkerSpec, ...]
     work: dict[str, Work]
     customers: tuple[str, ...]
     quotas: dict[str, float]
@@ -151,14 +151,14 @@
                 return spec
         raise KeyError(name)
 
-    def machine(self, name: str) -> Machine:
+    def machine(self, name: str) -> WorkerSpec:
         """Return the worker of that name; KeyError if none."""
         for machine in self.machines:
             if machine.name == name:
                 return machine
         raise KeyError(name)
 
-    def machines_of(self, cell: int) -> list[Machine]:
+    def cell_machines(self, cell: int) -> list[WorkerSpec]:
         """Return a cell's workers: every cells-th one, in settings order.
 
         Neighbours in a rack fall into different cells, so that losing a
@@ -167,13 +167,13 @@
         return list(self.machines[cell::self.cells])
 
     @property
-    def commit_pace(self) -> float:
+    def commit_interval_s(self) -> float:
         """Return the seconds between two writes of one cell's job table.
 
         All cells writing as fast as they may take half of the writes that
         the key-value service allows; the other half stays for the rest.
         """
-        return max(MIN_COMMIT_PACE,
+        return max(MIN_COMMIT_INTERVAL_S,
                    self.cells / (0.5 * self.kv_writes_per_second))
 
     @property
--- a/sycamorefield/peers.py
+++ b/sycamorefield/peers.py
@@ -249,7 +249,7 @@
                 room = options.Capacity(cell.room.cpus, cell.room.memory_mb,
                                         cell.room.accelerators)
                 if (cell.cell != leaving and not cell.queued
-                        and room.fits(options.ZERO, demand)
+                        and room.fits(options.ZERO_CAPACITY, demand)
                         and room.cpus > best_cpus):
                     best, best_cpus = cell.cell, room.cpus
         return best
--- a/sycamorefield/vmlist.py
+++ b/sycamorefield/vmlist.py
@@ -21,14 +21,14 @@
 class Vm:
     """A backend VM as the list knows it, with its state changes."""
 
-    machine: options.Machine
+    machine: options.WorkerSpec
     changes: list[tuple[float, str]]
 
     def state_at(self, moment: float) -> str:
         """Return the state the list shows at a moment."""
         state = LIVE
-        for at, value in self.changes:
-            if at <= moment:
+        for changed_at, value in self.changes:
+            if changed_at <= moment:
                 state = value
         return state
 
@@ -37,7 +37,7 @@
     """Serve GET /v1/vms and POST /v1/vms/<name>/leaving."""
 
     def __init__(self, opts: options.Options) -> None:
-        self.lag = opts.vm_list_lag
+        self.lag_s = opts.vm_list_lag_s
         self.lock = threading.Lock()
         self.vms = {m.name: Vm(m, []) for m in opts.machines}
 
@@ -49,8 +49,8 @@
         if what != "vms":
             raise cherrypy.NotFound()
         if name:
-            return self._change(name, action)
-        moment = time.time() - self.lag
+            return self._set_state(name, action)
+        moment = time.time() - self.lag_s
         with self.lock:
             return [{"name": vm.machine.name, "zone": vm.machine.zone,
                      "rack": vm.machine.rack,
@@ -59,7 +59,7 @@
                      "state": vm.state_at(moment)}
                     for vm in self.vms.values()]
 
-    def _change(self, name: str, action: str) -> dict[str, object]:
+    def _set_state(self, name: str, action: str) -> dict[str, object]:
         if cherrypy.request.method != "POST":
             raise cherrypy.HTTPError(405)
         if action not in (LIVE, LEAVING):
@@ -69,7 +69,7 @@
             if vm is None:
                 raise cherrypy.NotFound()
             vm.changes.append((time.time(), action))
-        return {"name": name, "state": action, "visible_after": self.lag}
+        return {"name": name, "state": action, "visible_after": self.lag_s}
 
 
 def serve(opts: options.Options) -> VmList:
--- a/sycamorefield/worker.py
+++ b/sycamorefield/worker.py
@@ -21,13 +21,13 @@
 from sycamorefield import sycamorefield_pb2 as pb
 from sycamorefield import sycamorefield_pb2_grpc as pb_grpc
 
-TICK = 0.05
-REPORT_LAG = 1.0
+TICK_S = 0.05
+REPORT_LAG_S = 1.0
 # A held report is answered early when interference moved by this much.
 INTERFERENCE_STEP = 0.25
 # A task that crashes its worker lets it live this long, and the status with
 # which its process then ends.
-CRASHES_AFTER = 0.01
+CRASH_DELAY_S = 0.01
 CRASH_STATUS = 70
 RUNNING = "running"
 DONE = "done"
@@ -52,7 +52,7 @@
     lease_until: float
     progress: float = 0.0
     state: str = RUNNING
-    doomed: bool = False
+    fails_on_start: bool = False
     sequence: int = 0
 
     def status(self) -> pb.TaskStatus:
@@ -74,17 +74,17 @@
     interference: float
 
 
-class Machine(pb_grpc.WorkerServicer):
+class WorkerServer(pb_grpc.WorkerServicer):
     """A worker: its capacity, its tasks and the fence it has seen."""
 
-    def __init__(self, spec: options.Machine) -> None:
+    def __init__(self, spec: options.WorkerSpec) -> None:
         self.spec = spec
         self.lock = threading.Lock()
-        self.news = threading.Condition(self.lock)
+        self.report_ready = threading.Condition(self.lock)
         self.incarnation = random.getrandbits(62) + 1
         # From 1 on: a report that has seen 0 has seen nothing.
         self.sequence = 1
-        self.told_interference = 0.0
+        self.reported_interference = 0.0
         self.tasks: dict[str, Task] = {}
         self.fence_seen = 0
         self.faults = pb.WorkerFaults(slow_factor=1.0)
@@ -94,14 +94,14 @@
         self.served_by_key: collections.Counter[str] = collections.Counter()
         self.leaving_since = 0.0
         self.served_after_leaving = 0
-        self.peak = options.ZERO
-        self.misdeclared: dict[str, float] = {}
-        self.crashing: set[str] = set()
+        self.peak_usage = options.ZERO_CAPACITY
+        self.misdeclared_by_work: dict[str, float] = {}
+        self.crashing_work: set[str] = set()
         self.stopped = threading.Event()
 
     def used(self) -> options.Capacity:
         """Return the declared resources of running tasks."""
-        total = options.ZERO
+        total = options.ZERO_CAPACITY
         for task in self.tasks.values():
             if task.state == RUNNING:
                 total = total.plus(task.declared)
@@ -109,10 +109,10 @@
 
     def capacity(self) -> options.Capacity:
         """Return the room there is now; it may shrink and grow again."""
-        whole, left = self.spec.capacity, 1.0 - self.faults.shrunk_by
-        return options.Capacity(whole.cpus * left,
-                                int(whole.memory_mb * left),
-                                int(whole.accelerators * left))
+        total, usable_share = self.spec.capacity, 1.0 - self.faults.shrunk_by
+        return options.Capacity(total.cpus * usable_share,
+                                int(total.memory_mb * usable_share),
+                                int(total.accelerators * usable_share))
 
     def crash(self) -> None:
         """End this process without a word, as a task made it."""
@@ -124,7 +124,7 @@
         load = self.used().cpus / self.spec.capacity.cpus
         return sum(task.noise for task in running) * (0.5 + load)
 
-    def lacking(self, demand: options.Capacity) -> str:
+    def missing_resource(self, demand: options.Capacity) -> str:
         """Return why a task of this size does not fit now, or nothing."""
         running = sum(1 for t in self.tasks.values() if t.state == RUNNING)
         if running >= self.spec.slots:
@@ -148,8 +148,8 @@
                             fence=request.fence, seen=self.fence_seen,
                             owner=request.owner)
                 return pb.TaskReply(accepted=False, reason="stale-fence")
-            self._see(request.fence)
-            self._lapse()
+            self._record_fence(request.fence)
+            self._expire_leases()
             existing = self.tasks.get(request.task_id)
             if existing is not None:
                 # A repeated start, also one repeated after the task ended:
@@ -160,67 +160,69 @@
                 # The start waited in our socket while we were frozen; its
                 # sender may have counted us as lost and moved the job.
                 return self._refuse("too-late")
-            lacking = self.lacking(demand)
-            if lacking:
-                return self._refuse(lacking)
+            missing = self.missing_resource(demand)
+            if missing:
+                return self._refuse(missing)
             now = time.monotonic()
             task = Task(request.task_id, request.job_id, request.work,
-                        demand, self._true_seconds(request), request.noise,
+                        demand, self._actual_run_seconds(
+                            request), request.noise,
                         request.fence, request.owner, request.lease_ms,
                         now + request.lease_ms / 1000.0, request.progress,
-                        doomed=self.faults.fail_all)
+                        fails_on_start=self.faults.fail_all)
             self.tasks[request.task_id] = task
-            self._mark(task)
-            self.peak = self._peak(self.used())
+            self._record_change(task)
+            self.peak_usage = self._max_usage(self.used())
             self._check_capacity()
         events.emit(events.TASK_BEGAN, worker=self.spec.name,
                     task=task.task_id, job=task.job_id, fence=task.fence,
                     owner=task.owner, progress=round(task.progress, 3))
-        if task.work in self.crashing:
-            threading.Timer(CRASHES_AFTER, self.crash).start()
+        if task.work in self.crashing_work:
+            threading.Timer(CRASH_DELAY_S, self.crash).start()
         return pb.TaskReply(accepted=True, state=RUNNING,
                             progress=task.progress)
 
-    def _true_seconds(self, request: pb.StartTaskRequest) -> float:
+    def _actual_run_seconds(self, request: pb.StartTaskRequest) -> float:
         """Return how long a job truly runs: declared times are far off."""
-        off = self.misdeclared.get(request.work, 1.0)
-        factor = random.Random(request.job_id).uniform(-1.0, 1.0)
-        return request.run_seconds * off ** factor
+        max_factor = self.misdeclared_by_work.get(request.work, 1.0)
+        exponent = random.Random(request.job_id).uniform(-1.0, 1.0)
+        return request.run_seconds * max_factor ** exponent
 
     def _check_capacity(self) -> None:
         # The checked mode's own assertion: the worker is the one place
         # that sees every start, whoever sent it, so an overcommit is
         # caught here at once and logged for the run's checker.
         used = self.used()
-        if not self.spec.capacity.fits(options.ZERO, used):
+        if not self.spec.capacity.fits(options.ZERO_CAPACITY, used):
             events.emit(events.INVARIANT_BROKEN, invariant="capacity",
                         worker=self.spec.name,
                         used=dataclasses.asdict(used))
 
-    def _see(self, fence: int) -> None:
+    def _record_fence(self, fence: int) -> None:
         """Note the fence of the current owner; release an earlier one."""
         if fence > self.fence_seen:
             self.fence_seen = fence
-            self.news.notify_all()
+            self.report_ready.notify_all()
 
-    def _mark(self, task: Task) -> None:
+    def _record_change(self, task: Task) -> None:
         """Number a change of a task, for reports that list changes only."""
         self.sequence += 1
         task.sequence = self.sequence
 
-    def _end(self, task: Task, state: str, ago: float = 0.0) -> None:
+    def _end_task(self, task: Task, state: str,
+                  ended_ago_s: float = 0.0) -> None:
         task.state = state
-        self._mark(task)
-        self.news.notify_all()
+        self._record_change(task)
+        self.report_ready.notify_all()
         events.emit(events.TASK_ENDED, worker=self.spec.name,
                     task=task.task_id, job=task.job_id, state=state,
-                    ended_at=round(time.time() - ago, 6),
+                    ended_at=round(time.time() - ended_ago_s, 6),
                     progress=round(task.progress, 3))
 
-    def _peak(self, used: options.Capacity) -> options.Capacity:
-        return options.Capacity(max(self.peak.cpus, used.cpus),
-                                max(self.peak.memory_mb, used.memory_mb),
-                                max(self.peak.accelerators,
+    def _max_usage(self, used: options.Capacity) -> options.Capacity:
+        return options.Capacity(max(self.peak_usage.cpus, used.cpus),
+                                max(self.peak_usage.memory_mb, used.memory_mb),
+                                max(self.peak_usage.accelerators,
                                     used.accelerators))
 
     def StopTask(self, request: pb.StopTaskRequest,
@@ -232,7 +234,7 @@
             if task is None:
                 return pb.TaskReply(accepted=False, reason="unknown-task")
             if task.state == RUNNING:
-                self._end(task, STOPPED)
+                self._end_task(task, STOPPED)
             return pb.TaskReply(accepted=True, state=task.state,
                                 progress=task.progress)
 
@@ -241,17 +243,17 @@
         with self.lock:
             # Lapse first: a report that waited in our socket while we were
             # frozen must not renew a lease that ran out meanwhile.
-            self._lapse()
-            current = request.fence and request.fence >= self.fence_seen
-            if current:
-                self._take_in(request)
+            self._expire_leases()
+            from_owner = request.fence and request.fence >= self.fence_seen
+            if from_owner:
+                self._apply_owner_report(request)
             full = (not request.seen
                     or request.incarnation != self.incarnation)
-            if current and not full:
-                self.news.wait_for(lambda: self._news(request),
-                                   request.wait_ms / 1000.0)
-            lagged = self._lagged()
-            self.told_interference = lagged.interference
+            if from_owner and not full:
+                self.report_ready.wait_for(lambda: self._report_due(request),
+                                           request.wait_ms / 1000.0)
+            delayed = self._delayed_snapshot()
+            self.reported_interference = delayed.interference
             statuses = [
                 task.status() for task in self.tasks.values()
                 if full or task.sequence > request.seen
@@ -262,18 +264,18 @@
             worker=self.spec.name,
             capacity=pb.Resources(cpus=cap.cpus, memory_mb=cap.memory_mb,
                                   accelerators=cap.accelerators),
-            used=pb.Resources(cpus=lagged.used.cpus,
-                              memory_mb=lagged.used.memory_mb,
-                              accelerators=lagged.used.accelerators),
-            tasks=statuses, interference=lagged.interference,
-            fence_seen=self.fence_seen, measured_at=lagged.at,
+            used=pb.Resources(cpus=delayed.used.cpus,
+                              memory_mb=delayed.used.memory_mb,
+                              accelerators=delayed.used.accelerators),
+            tasks=statuses, interference=delayed.interference,
+            fence_seen=self.fence_seen, measured_at=delayed.at,
             sequence=sequence, incarnation=self.incarnation, full=full)
 
-    def _take_in(self, request: pb.ReportRequest) -> None:
+    def _apply_owner_report(self, request: pb.ReportRequest) -> None:
         """Renew leases and forget recorded ends for the current owner."""
-        self._see(request.fence)
-        late = request.not_after and time.time() > request.not_after
-        if request.renew and not late:
+        self._record_fence(request.fence)
+        expired = request.not_after and time.time() > request.not_after
+        if request.renew and not expired:
             now = time.monotonic()
             for task in self.tasks.values():
                 if task.state == RUNNING:
@@ -289,21 +291,22 @@
             if ended is not None and ended.state != RUNNING:
                 del self.tasks[task_id]
 
-    def _news(self, request: pb.ReportRequest) -> bool:
+    def _report_due(self, request: pb.ReportRequest) -> bool:
         """Return whether a held report must be answered now."""
         return (self.stopped.is_set() or self.fence_seen > request.fence
                 or any(task.state != RUNNING
                        and task.sequence > request.seen
                        for task in self.tasks.values())
-                or abs(self._lagged().interference - self.told_interference)
+                or abs(self._delayed_snapshot().interference
+                       - self.reported_interference)
                 > INTERFERENCE_STEP)
 
-    def _lagged(self) -> Snapshot:
-        cutoff = time.time() - REPORT_LAG
+    def _delayed_snapshot(self) -> Snapshot:
+        cutoff = time.time() - REPORT_LAG_S
         for snapshot in reversed(self.history):
             if snapshot.at <= cutoff:
                 return snapshot
-        return Snapshot(time.time(), options.ZERO, 0.0)
+        return Snapshot(time.time(), options.ZERO_CAPACITY, 0.0)
 
     def SetFaults(self, request: pb.WorkerFaults,
                   context: grpc.ServicerContext) -> pb.WorkerFaults:
@@ -317,41 +320,43 @@
     def tick_forever(self) -> None:
         """Advance tasks, lapse unrenewed leases and record usage."""
         last = time.monotonic()
-        while not self.stopped.wait(TICK):
+        while not self.stopped.wait(TICK_S):
             now = time.monotonic()
-            elapsed = now - last
+            elapsed_s = now - last
             last = now
             with self.lock:
-                self._lapse()
+                self._expire_leases()
                 slowdown = 1.0 + 0.5 * self.interference()
                 for task in self.tasks.values():
-                    self._advance(task, elapsed / slowdown)
+                    self._advance_task(task, elapsed_s / slowdown)
                 self.history.append(Snapshot(time.time(), self.used(),
                                              self.interference()))
-                if (abs(self._lagged().interference - self.told_interference)
+                if (abs(self._delayed_snapshot().interference
+                        - self.reported_interference)
                         > INTERFERENCE_STEP):
-                    self.news.notify_all()
+                    self.report_ready.notify_all()
 
-    def _lapse(self) -> None:
+    def _expire_leases(self) -> None:
         """End the tasks whose lease has run out."""
         now = time.monotonic()
         for task in self.tasks.values():
             if task.state == RUNNING and now > task.lease_until:
                 events.emit(events.TASK_LAPSED, worker=self.spec.name,
                             task=task.task_id, job=task.job_id)
-                self._end(task, LAPSED, ago=now - task.lease_until)
+                self._end_task(task, LAPSED, ended_ago_s=now -
+                               task.lease_until)
 
-    def _advance(self, task: Task, elapsed: float) -> None:
+    def _advance_task(self, task: Task, elapsed_s: float) -> None:
         if task.state != RUNNING:
             return
-        if task.doomed:
-            self._end(task, FAILED)
+        if task.fails_on_start:
+            self._end_task(task, FAILED)
             return
         if task.run_seconds > 0:
             task.progress = min(1.0, task.progress
-                                + elapsed / task.run_seconds)
+                                + elapsed_s / task.run_seconds)
             if task.progress >= 1.0:
-                self._end(task, DONE)
+                self._end_task(task, DONE)
 
     def service_seconds(self, service_ms: float) -> float:
         """Return how long a latency-critical request takes here now."""
@@ -360,11 +365,11 @@
         return service_ms / 1000.0 * factor
 
 
-def serve_grpc(host: str, spec: options.Machine,
-               kind: type[Machine] = Machine
-               ) -> tuple[grpc.Server, Machine]:
+def serve_grpc(host: str, spec: options.WorkerSpec,
+               server_class: type[WorkerServer] = WorkerServer
+               ) -> tuple[grpc.Server, WorkerServer]:
     """Start the worker's gRPC side and its clock; return them."""
-    machine = kind(spec)
+    machine = server_class(spec)
     server = channels.server(threads=16)
     pb_grpc.add_WorkerServicer_to_server(machine, server)
     server.add_insecure_port(f"{host}:{spec.grpc_port}")
--- a/sycamorefield/workerlink.py
+++ b/sycamorefield/workerlink.py
@@ -24,7 +24,7 @@
 from sycamorefield import sycamorefield_pb2_grpc as pb_grpc
 from sycamorefield import tasklist
 
-CALL_TIMEOUT = options.REPORT_GRACE
+CALL_TIMEOUT = options.REPORT_GRACE_S
 UNREACHABLE_REPORTS = 3
 # The least time between two reports: many ends in a row share one.
 REPORT_GAP = 0.05
@@ -91,7 +91,7 @@
 class WorkerLink:
     """The owner's side of one worker: its tasks, room and health."""
 
-    def __init__(self, opts: options.Options, machine: options.Machine,
+    def __init__(self, opts: options.Options, machine: options.WorkerSpec,
                  owner: str, fence: int, cell: LinkOwner,
                  holds: typing.Callable[[], bool]) -> None:
         self.opts = opts
@@ -133,7 +133,7 @@
 
     def used(self) -> options.Capacity:
         """Return the sum of what the tasks placed here declare."""
-        total = options.ZERO
+        total = options.ZERO_CAPACITY
         with self.lock:
             for demand in self.committed.values():
                 total = total.plus(demand)
@@ -257,7 +257,7 @@
         """Count the worker as lost once all that it ran has lapsed."""
         silent = time.monotonic() - self.renewed_at
         if (self.misses and not self.lost
-                and silent > self.opts.timings.lapse):
+                and silent > self.opts.timings.orphan_timeout_s):
             self.lost = True
             events.emit(events.WORKER_LOST, worker=self.machine.name)
             self.cell.worker_lost(self)
@@ -355,7 +355,7 @@
             run_seconds=work.run_seconds, fence=self.fence,
             owner=self.owner, progress=start.progress, noise=work.noise,
             lease_ms=int(self.opts.timings.task_lease * 1000),
-            not_after=time.time() + options.START_WINDOW)
+            not_after=time.time() + options.START_WINDOW_S)
         self.renewed_at = time.monotonic()
         try:
             return self.stub.StartTask(request, timeout=CALL_TIMEOUT)
--- a/tools/launch.py
+++ b/tools/launch.py
@@ -59,7 +59,7 @@
 
     @classmethod
     def from_sample(cls, directory: str, base_port: int,
-                    sample: str = settings.DEFAULT,
+                    sample: str = settings.DEFAULT_SAMPLE,
                     **changes: object) -> "Deployment":
         """Write a sample's settings with its own ports and log dir."""
         raw = yaml.safe_load(settings.sample_text(sample))
@@ -182,7 +182,8 @@
 def main() -> int:
     """Run the launcher; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--settings", default="embedded:" + settings.DEFAULT)
+    parser.add_argument("--settings", default="embedded:" +
+                        settings.DEFAULT_SAMPLE)
     parser.add_argument("--binary", default=None,
                         help="path of the zipapp (default: the source)")
     parser.add_argument("--seconds", type=float, default=None)
